--- a/src/gateway/decide/breaker.rs
+++ b/src/gateway/decide/breaker.rs
@@ -1,85 +1,91 @@
-//! Health of an upstream, judged from what requests saw.
+//! Health of an upstream, derived from the outcomes of requests sent to it.
 //!
-//! Health is a cost: an upstream that fails is passed over while others do
-//! better, and is tried again as its failures age. One that could not be
-//! reached is avoided for a while, but for the case that no other is left. So a
-//! false verdict cannot empty a service.
+//! Health is a cost in upstream selection: an upstream with recent failures is passed over
+//! while others do better, and is tried again as its failures age. An upstream that could not
+//! be reached is avoided for a short period, unless no other is left. A wrong judgement
+//! therefore cannot leave a service without upstreams.
 
 use std::time::{Duration, Instant};
 
-/// Time after which a failure counts half. Grey failures last some seconds.
+/// Time after which a failure counts half. Partial failures typically last a few seconds.
 const HALF_LIFE: Duration = Duration::from_secs(2);
-/// Share of earlier failures that remains after a success.
-const AFTER_SUCCESS: f64 = 0.75;
-/// Most failures that are remembered, so that a recovered upstream is tried
-/// again within a few half-lives.
-const MOST: f64 = 8.0;
-/// For how long an upstream that could not be reached is avoided: a crashed one
-/// stays in the list for some seconds, and each try costs its caller time.
-const AVOID_FIRST: Duration = Duration::from_millis(500);
-/// The same after several such tries in a row; it doubles with each up to this.
-const AVOID_LONGEST: Duration = Duration::from_secs(2);
+/// Factor applied to earlier failures when an attempt succeeds.
+const SUCCESS_FACTOR: f64 = 0.75;
+/// Upper limit of the failure count, so that a recovered upstream is tried again within a few
+/// half-lives.
+const MAX_FAILURES: f64 = 8.0;
+/// How long an upstream is avoided after the first attempt that could not reach it: a crashed
+/// upstream stays in the list for some seconds, and each attempt costs its caller time.
+const INITIAL_AVOIDANCE: Duration = Duration::from_millis(500);
+/// Upper limit of the avoidance period, which doubles with each consecutive attempt that could
+/// not reach the upstream.
+const MAX_AVOIDANCE: Duration = Duration::from_secs(2);
 
-/// How an attempt ended, as far as it tells of the upstream's health.
+/// Outcome of an attempt, as far as it bears on the upstream's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// It answered as it should.
+    /// The upstream answered as expected.
     Good,
-    /// It answered with a failure of its own, or broke off.
+    /// The upstream answered with an error of its own, or the response broke off.
     Failed,
-    /// It could not be reached.
+    /// No connection to the upstream could be made.
     Unreachable,
 }
 
-/// Health of one upstream in the view of this process.
+/// Health of one upstream, as seen by this process.
 #[derive(Clone, Copy, Debug)]
 pub struct Breaker {
-    failures: f64,
-    at: Instant,
-    unreachable: u32,
+    decayed_failures: f64,
+    updated_at: Instant,
+    consecutive_unreachable: u32,
     avoid_until: Option<Instant>,
 }
 
 impl Breaker {
-    /// Creates the health of an upstream that has not been tried.
+    /// Creates the health of an upstream that has not been tried yet.
     pub fn new(now: Instant) -> Self {
-        Self { failures: 0.0, at: now, unreachable: 0, avoid_until: None }
+        Self {
+            decayed_failures: 0.0,
+            updated_at: now,
+            consecutive_unreachable: 0,
+            avoid_until: None,
+        }
     }
 
-    /// Notes how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn record(&mut self, verdict: Verdict, now: Instant) {
         let recent = self.recent_failures(now);
-        self.failures = match verdict {
-            Verdict::Good => recent * AFTER_SUCCESS,
-            Verdict::Failed => (recent + 1.0).min(MOST),
-            Verdict::Unreachable => (recent + 3.0).min(MOST),
+        self.decayed_failures = match verdict {
+            Verdict::Good => recent * SUCCESS_FACTOR,
+            Verdict::Failed => (recent + 1.0).min(MAX_FAILURES),
+            Verdict::Unreachable => (recent + 3.0).min(MAX_FAILURES),
         };
-        self.at = now;
-        self.note_reached(verdict, now);
+        self.updated_at = now;
+        self.update_avoidance(verdict, now);
     }
 
-    fn note_reached(&mut self, verdict: Verdict, now: Instant) {
+    fn update_avoidance(&mut self, verdict: Verdict, now: Instant) {
         if verdict != Verdict::Unreachable {
-            self.unreachable = 0;
+            self.consecutive_unreachable = 0;
             self.avoid_until = None;
             return;
         }
-        // Tries that were under way when it became known tell nothing new.
+        // Attempts already in flight when the upstream became unreachable add no information.
         if !self.is_avoided(now) {
-            let pause = AVOID_FIRST * 2_u32.saturating_pow(self.unreachable);
-            self.avoid_until = Some(now + pause.min(AVOID_LONGEST));
-            self.unreachable += 1;
+            let avoidance = INITIAL_AVOIDANCE * 2_u32.saturating_pow(self.consecutive_unreachable);
+            self.avoid_until = Some(now + avoidance.min(MAX_AVOIDANCE));
+            self.consecutive_unreachable += 1;
         }
     }
 
-    /// Returns whether it is avoided, since it could not be reached of late.
+    /// Returns whether the upstream is currently avoided because it could not be reached.
     pub fn is_avoided(&self, now: Instant) -> bool {
         self.avoid_until.is_some_and(|until| now < until)
     }
 
-    /// Returns the recent failures; older ones count less.
+    /// Returns the number of recent failures, weighted by age with exponential decay.
     pub fn recent_failures(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.at).as_secs_f64();
-        self.failures * 0.5_f64.powf(age / HALF_LIFE.as_secs_f64())
+        let age = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        self.decayed_failures * 0.5_f64.powf(age / HALF_LIFE.as_secs_f64())
     }
 }
--- a/src/gateway/decide/cache.rs
+++ b/src/gateway/decide/cache.rs
@@ -1,35 +1,36 @@
-//! Which shared prompt prefixes each engine likely holds in its KV cache.
+//! Estimate of the shared prompt prefixes that each engine holds in its KV cache.
 
 use std::{collections::HashMap, time::Instant};
 
 use crate::{gateway::model::Lifetime, prefix::Fingerprint};
 
-/// Share of an engine's cache that shared prefixes are believed to get; the
-/// rest holds running requests.
-const SHARED_PART: f64 = 0.7;
+/// Assumed fraction of an engine's cache that is available to shared prefixes; the rest holds
+/// running requests.
+const SHARED_FRACTION: f64 = 0.7;
 
 #[derive(Clone, Copy, Debug)]
-struct Held {
+struct CachedPrefix {
     tokens: u32,
-    used: Instant,
+    last_used: Instant,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Engine {
-    held: HashMap<Fingerprint, Held>,
+struct EngineCache {
+    prefixes: HashMap<Fingerprint, CachedPrefix>,
     tokens: u64,
 }
 
-/// Belief about the caches of all engines, from requests sent to them. An engine
-/// that starts again holds nothing, so the belief is by lifetime.
+/// Estimated KV cache contents of all engines, derived from the requests sent to them. An
+/// engine that restarts loses its cache, so entries are keyed by lifetime.
 #[derive(Clone, Debug, Default)]
 pub struct CacheBelief {
-    engines: HashMap<Lifetime, Engine>,
+    engines: HashMap<Lifetime, EngineCache>,
 }
 
 impl CacheBelief {
-    /// Notes that a request with a shared prefix was sent to an engine whose
-    /// cache holds `capacity` tokens. The least recently used prefixes yield.
+    /// Records that a request with a shared prefix was sent to an engine whose cache holds
+    /// `capacity` tokens. Least recently used prefixes are evicted when the estimate exceeds
+    /// the space for shared prefixes.
     pub fn note(
         &mut self,
         engine: Lifetime,
@@ -42,34 +43,35 @@
             return;
         }
         let known = self.engines.entry(engine).or_default();
-        match known.held.insert(prefix, Held { tokens, used: now }) {
-            Some(before) => {
-                known.tokens = known.tokens - u64::from(before.tokens) + u64::from(tokens)
+        match known.prefixes.insert(prefix, CachedPrefix { tokens, last_used: now }) {
+            Some(previous) => {
+                known.tokens = known.tokens - u64::from(previous.tokens) + u64::from(tokens)
             }
             None => known.tokens += u64::from(tokens),
         }
-        known.shrink((capacity as f64 * SHARED_PART) as u64);
+        known.evict_to((capacity as f64 * SHARED_FRACTION) as u64);
     }
 
-    /// Returns whether the engine likely holds the prefix.
+    /// Returns whether the engine is expected to hold the prefix.
     pub fn holds(&self, engine: Lifetime, prefix: Fingerprint) -> bool {
-        self.engines.get(&engine).is_some_and(|e| e.held.contains_key(&prefix))
+        self.engines.get(&engine).is_some_and(|e| e.prefixes.contains_key(&prefix))
     }
 
-    /// Forgets engines, and lifetimes of engines, that are not `known`.
+    /// Drops all engine lifetimes for which `known` returns false.
     pub fn retain(&mut self, known: impl Fn(Lifetime) -> bool) {
         self.engines.retain(|lifetime, _| known(*lifetime));
     }
 }
 
-impl Engine {
-    fn shrink(&mut self, most: u64) {
-        while self.tokens > most && self.held.len() > 1 {
-            let oldest = self.held.iter().min_by_key(|(_, held)| held.used).map(|(p, _)| *p);
-            let Some(held) = oldest.and_then(|p| self.held.remove(&p)) else {
+impl EngineCache {
+    fn evict_to(&mut self, max_tokens: u64) {
+        while self.tokens > max_tokens && self.prefixes.len() > 1 {
+            let oldest =
+                self.prefixes.iter().min_by_key(|(_, entry)| entry.last_used).map(|(p, _)| *p);
+            let Some(entry) = oldest.and_then(|p| self.prefixes.remove(&p)) else {
                 return;
             };
-            self.tokens -= u64::from(held.tokens);
+            self.tokens -= u64::from(entry.tokens);
         }
     }
 }
--- a/src/gateway/decide/engine.rs
+++ b/src/gateway/decide/engine.rs
@@ -1,41 +1,43 @@
-//! Choice of an upstream by predicted time to the first token.
+//! Selection of an upstream by predicted time to the first token.
 
 use std::time::Duration;
 
 use super::EngineSpeed;
 
-/// Delay between data centres and price of their traffic, in seconds.
-const REMOTE_COST: f64 = 0.002;
-/// How much each second of reading counts beyond the time until the request's own
-/// first token: meanwhile the others at the engine get their tokens late, and what
-/// another engine holds is read once more.
+/// Cost of sending a request to another data centre, in seconds: the latency between data
+/// centres, and an allowance for the price of the traffic.
+const REMOTE_COST_SECONDS: f64 = 0.002;
+/// Weight of the time for reading the prompt, added to the request's own predicted wait:
+/// reading delays the tokens of the other requests at the engine, and a prefix that another
+/// engine holds is read a second time.
 const READING_WEIGHT: f64 = 3.0;
-/// What a new connection costs, in seconds: an engine accepts one after the other from
-/// all processes. Above [`JITTER`], so that of upstreams that do equally well the one to
-/// which a connection is kept is taken.
-const CONNECTING_COST: f64 = 0.005;
-/// Largest part of the cost that is left to chance, in seconds, so that
-/// processes with the same view do not all choose the same upstream.
-const JITTER: f64 = 0.004;
+/// Cost of a new connection, in seconds: an engine accepts connections from all processes one
+/// after another. Larger than [`MAX_JITTER_SECONDS`], so that among equally good upstreams one
+/// with an idle connection is preferred.
+const CONNECT_COST_SECONDS: f64 = 0.005;
+/// Upper limit of the random part of the cost, in seconds, so that processes with the same view
+/// do not all choose the same upstream.
+const MAX_JITTER_SECONDS: f64 = 0.004;
 
 /// An upstream that could run the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Requests running or waiting there, sent by any process.
+    /// Requests running or waiting at the upstream, from all processes.
     pub running: f64,
-    /// Prompt tokens sent there by any process that are not read yet.
+    /// Prompt tokens sent to the upstream by all processes that it has not read yet.
     pub pending_tokens: f64,
-    /// Requests that run at once.
+    /// Number of requests that the upstream runs at once.
     pub slots: u32,
-    /// Prompt tokens of this request that it would have to read.
+    /// Prompt tokens of this request that the upstream is not expected to have cached.
     pub missing_tokens: f64,
-    /// Failures of late.
+    /// Recent failures of the upstream, weighted; a cost in units of the time that a request
+    /// holds a slot.
     pub failures: f64,
-    /// Whether it is in another data centre.
+    /// Whether the upstream is in another data centre.
     pub remote: bool,
-    /// Whether a connection to it is kept that is free.
+    /// Whether an idle connection to the upstream exists.
     pub connected: bool,
-    /// From 0 to 1, drawn for this choice.
+    /// Random number from 0 to 1, drawn for each candidate of each choice.
     pub chance: f64,
 }
 
@@ -46,31 +48,33 @@
 
 fn wait_seconds(c: &Candidate, speed: EngineSpeed) -> f64 {
     let slots = f64::from(c.slots.max(1));
-    let first = speed.first_token(c.pending_tokens + c.missing_tokens, c.running.min(slots));
-    // With all slots taken, one becomes free each time one of the runs ends.
-    let ahead = (c.running + 1.0 - slots).max(0.0);
-    first + ahead * speed.held / slots
+    let first_token = speed.first_token(c.pending_tokens + c.missing_tokens, c.running.min(slots));
+    // When all slots are taken, one becomes free each time a running request ends.
+    let queue_position = (c.running + 1.0 - slots).max(0.0);
+    first_token + queue_position * speed.held / slots
 }
 
-/// Returns what a request costs there, in seconds. A recent failure counts as long as a
-/// request holds its slot: that much of a caller's time goes with the next one. A fixed
-/// time would pass over a quick service for the price of many requests.
+/// Returns the cost of sending the request to the candidate, in seconds. A recent failure costs
+/// as much as the time for which a request holds its slot, since another failure would cost the
+/// caller about that much. With a fixed cost for each failure, an upstream of a service with
+/// short requests would be avoided at the price of many requests' time.
 fn cost(c: &Candidate, speed: EngineSpeed) -> f64 {
-    let remote = if c.remote { REMOTE_COST } else { 0.0 };
-    let connecting = if c.connected { 0.0 } else { CONNECTING_COST };
+    let remote = if c.remote { REMOTE_COST_SECONDS } else { 0.0 };
+    let connect = if c.connected { 0.0 } else { CONNECT_COST_SECONDS };
     let reading = READING_WEIGHT * c.missing_tokens * speed.per_token;
-    let detours = remote + connecting + c.chance * JITTER;
-    wait_seconds(c, speed) + reading + c.failures * speed.held + detours
+    let overhead = remote + connect + c.chance * MAX_JITTER_SECONDS;
+    wait_seconds(c, speed) + reading + c.failures * speed.held + overhead
 }
 
-/// Returns the index of the best candidate; `None` if there is none.
+/// Returns the index of the candidate with the lowest cost; `None` if there are no candidates.
 pub fn choose_engine(candidates: &[Candidate], speed: EngineSpeed) -> Option<usize> {
     let costs = candidates.iter().map(|c| cost(c, speed)).enumerate();
     costs.min_by(|a, b| a.1.total_cmp(&b.1)).map(|(i, _)| i)
 }
 
-/// Returns the index of the candidate with the fewest requests, and of those the
-/// cheapest: if it ends under what it is sent, that is what it takes with it.
+/// Returns the index of the candidate with the fewest requests, and among these the one with
+/// the lowest cost. Used for requests that may crash the upstream, so that as few other
+/// requests as possible are lost with it.
 pub fn least_to_lose(candidates: &[Candidate], speed: EngineSpeed) -> Option<usize> {
     let costs = candidates.iter().map(|c| (c.running, cost(c, speed))).enumerate();
     let rank = |a: (f64, f64), b: (f64, f64)| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1));
--- a/src/gateway/decide/kept.rs
+++ b/src/gateway/decide/kept.rs
@@ -1,5 +1,5 @@
-//! Levels of quotas, counts of usage, and need and orders of engines, which outlive
-//! the processes.
+//! Quota levels, usage counts, and requirements and orders of engines, in the form in which
+//! they are stored so that they outlast the processes.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,38 +14,39 @@
     peering::ProcessId,
 };
 
-/// Windows of usage that are kept: reports are due two windows after the end.
-const KEPT_WINDOWS: usize = 4;
+/// Number of usage windows that are stored. Windows are reported two window lengths after their
+/// end.
+const STORED_WINDOWS: usize = 4;
 
-/// What is kept. Counts are kept by process, since those that live on tell
-/// theirs again.
+/// Stored state. Usage counts are stored by process, since processes that are still running
+/// report their own counts again.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Kept {
     levels: BTreeMap<CustomerName, f64>,
     customers: Vec<CustomerName>,
-    /// Window, process, and a count for each of `customers`.
+    /// Each entry has a window, a process, and a count for each of `customers`.
     usage: Vec<(Window, ProcessId, Vec<u64>)>,
     #[serde(default)]
     capacity: CapacityRecord,
 }
 
-/// Need and orders of engines, as the next holder of the lease has to know them.
+/// Requirements and orders of engines that the next holder of the lease needs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct CapacityRecord {
-    /// Engines that the load of each service needs.
+    /// Engines that the load of each service requires.
     pub needs: BTreeMap<ServiceName, f64>,
-    /// Orders of engines.
+    /// Last order for each kind of engine in each data centre.
     pub orders: Vec<OrderReport>,
 }
 
 impl Kept {
-    /// Takes what is to be kept.
+    /// Captures the state that is to be stored.
     pub fn of(
         levels: BTreeMap<CustomerName, f64>,
         usage: &UsageBook,
         capacity: CapacityRecord,
     ) -> Self {
-        let usage: Vec<_> = usage.of_all(KEPT_WINDOWS).collect();
+        let usage: Vec<_> = usage.of_all(STORED_WINDOWS).collect();
         let customers: BTreeSet<&CustomerName> =
             usage.iter().flat_map(|(_, _, counts)| counts.keys()).collect();
         let count = |counts: &Counts, customer| counts.get(customer).copied().unwrap_or_default();
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Puts quotas and usage back, and returns the rest.
+    /// Restores quotas and usage, and returns the capacity record.
     pub fn restore(
         self,
         quotas: &mut QuotaBook,
--- a/src/gateway/decide/mechanism.rs
+++ b/src/gateway/decide/mechanism.rs
@@ -1,28 +1,28 @@
-//! Mechanisms that can be switched off by name, to measure what each is worth.
+//! Decision mechanisms that can be disabled by name, to measure what each contributes.
 
-/// A mechanism of the decisions.
+/// A mechanism of the decision functions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mechanism {
-    /// Speed of engines, learnt from requests; else the start values hold.
+    /// Engine speed learnt from requests; the default speed applies otherwise.
     LearntSpeed,
-    /// Belief which engines hold which shared prompt parts.
+    /// Estimate of the shared prompt prefixes that each engine has cached.
     KnownCaches,
-    /// One home for a shared part that no engine holds.
+    /// Assignment of a shared prefix that no engine holds to one preferred engine.
     PrefixHome,
-    /// Failures of an upstream of late.
+    /// Recent failures of an upstream as a cost in upstream selection.
     Failures,
-    /// What all gateways together see of failures.
+    /// Outcomes of attempts, combined over all gateways.
     SharedOutcomes,
-    /// Avoiding upstreams that could not be reached.
+    /// Avoidance of upstreams that could not be reached.
     Avoidance,
-    /// Engines on demand for the case that one more data centre goes.
+    /// Engines on demand that cover the loss of one more data centre.
     LossCover,
-    /// Keeping to the largest need of the last seconds.
+    /// Use of the largest recent requirement in place of the current one.
     NeedPeak,
 }
 
 impl Mechanism {
-    /// All, with their names in the settings.
+    /// All mechanisms with their names in the settings.
     pub const NAMES: [(&'static str, Self); 8] = [
         ("learnt_speed", Self::LearntSpeed),
         ("known_caches", Self::KnownCaches),
@@ -35,17 +35,17 @@
     ];
 }
 
-/// Mechanisms that are switched off; none in service.
+/// Disabled mechanisms; empty in production.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SwitchedOff(Vec<Mechanism>);
 
 impl SwitchedOff {
-    /// Creates the set.
+    /// Creates the set of disabled mechanisms.
     pub fn new(mechanisms: Vec<Mechanism>) -> Self {
         Self(mechanisms)
     }
 
-    /// Returns whether a mechanism works.
+    /// Returns whether a mechanism is enabled.
     pub fn is_on(&self, mechanism: Mechanism) -> bool {
         !self.0.contains(&mechanism)
     }
--- a/src/gateway/decide/mod.rs
+++ b/src/gateway/decide/mod.rs
@@ -49,7 +49,7 @@
 pub use need::{Busy, LoadMeter, RequestCost, ServiceLoad, busy, engines_needed, mean_cost};
 pub use orders::{OrderBook, OrderKey, OrderReport};
 pub use outcomes::{OutcomeMeter, Outcomes};
-pub use pace::{OrderPace, OrderState, PaceInput};
+pub use pace::{OrderPacer, OrderState, PaceInput};
 pub use peak::{Need, NeedMeter, NeedPeak};
 pub use quota::{PeerTotal, QuotaBook, QuotaShare, QuotaTerms, QuotaUsedUp};
 pub use rate_limit::{
--- a/src/gateway/decide/need.rs
+++ b/src/gateway/decide/need.rs
@@ -1,44 +1,45 @@
-//! How many engines a service's load needs.
+//! Number of engines that the load of a service requires.
 //!
-//! The need belongs to the load and not to the state that a loss has left: after
-//! a loss, caches are cold and requests run longer beside each other, and a need
-//! taken from that state orders engines for as long as the disturbance lasts. So
-//! the rate of requests is followed at once, and what one request costs only
+//! The requirement is derived from the load and not from the current state of the engines:
+//! after a loss, caches are cold and more requests run at once, so each takes longer. A
+//! requirement derived from that state would order engines for as long as the disturbance
+//! lasts. The request rate is therefore followed quickly, and the cost of a request only
 //! slowly.
 
 use std::time::Instant;
 
 use super::EngineSpeed;
 
-/// Time over which the rate of requests is smoothed, in seconds: bursts last a
-/// few seconds, and an engine takes as long to start.
-const RATE_SPAN: f64 = 3.0;
-/// Shortest time from which a rate is reckoned, in seconds: in less, a few requests
-/// that come together look like a large load.
-const SHORTEST_SPAN: f64 = 1.0;
-/// Silence, in mean times between requests, after which the load has ended: it hardly
-/// comes by chance, and the rate would take seconds to fade.
-const ENDED_AFTER: f64 = 20.0;
-/// Time over which the cost of a request is smoothed, in seconds: longer than
-/// the waves in which the platform takes engines back.
-const COST_SPAN: f64 = 20.0;
-
-/// A sum whose earlier parts count less and less.
+/// Time constant of the request rate, in seconds: bursts last a few seconds, and an engine
+/// takes as long to start.
+const RATE_TIME_CONSTANT: f64 = 3.0;
+/// Shortest time over which a rate is computed, in seconds: over less, a few requests that
+/// arrive together look like a large load.
+const MIN_RATE_PERIOD: f64 = 1.0;
+/// Time without requests, in mean intervals between requests, after which the load is taken to
+/// have ended: such a gap hardly occurs by chance, and the decaying rate would take seconds to
+/// fall.
+const END_OF_LOAD_INTERVALS: f64 = 20.0;
+/// Time constant of the request cost, in seconds: longer than the intervals at which the
+/// platform reclaims engines.
+const COST_TIME_CONSTANT: f64 = 20.0;
+
+/// A sum with exponential decay.
 #[derive(Clone, Copy, Debug)]
-struct Fading {
+struct DecayingSum {
     sum: f64,
     at: Instant,
-    span: f64,
+    time_constant: f64,
 }
 
-impl Fading {
-    fn new(span: f64, now: Instant) -> Self {
-        Self { sum: 0.0, at: now, span }
+impl DecayingSum {
+    fn new(time_constant: f64, now: Instant) -> Self {
+        Self { sum: 0.0, at: now, time_constant }
     }
 
     fn get(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.at).as_secs_f64();
-        self.sum * (-age / self.span).exp()
+        self.sum * (-age / self.time_constant).exp()
     }
 
     fn add(&mut self, amount: f64, now: Instant) {
@@ -47,100 +48,101 @@
     }
 }
 
-/// What one request costs its engine, on average.
+/// Average cost of one request for its engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RequestCost {
     /// Prompt tokens that no cache holds.
     pub tokens: f64,
-    /// Seconds for which it holds a slot.
+    /// Time for which a request holds a slot, in seconds.
     pub held: f64,
 }
 
-/// Requests that callers bring to one service through this process.
+/// Load of one service, measured from the requests that callers send to this process.
 #[derive(Clone, Debug)]
 pub struct LoadMeter {
-    since: Option<Instant>,
-    rate: Fading,
-    requests: Fading,
-    tokens: Fading,
-    runs: Fading,
-    held: Fading,
+    started_at: Option<Instant>,
+    rate: DecayingSum,
+    requests: DecayingSum,
+    tokens: DecayingSum,
+    completions: DecayingSum,
+    held: DecayingSum,
 }
 
 impl LoadMeter {
-    /// Begins without load.
+    /// Creates a meter without load.
     pub fn new(now: Instant) -> Self {
-        let slow = Fading::new(COST_SPAN, now);
+        let slow = DecayingSum::new(COST_TIME_CONSTANT, now);
         Self {
-            since: None,
-            rate: Fading::new(RATE_SPAN, now),
+            started_at: None,
+            rate: DecayingSum::new(RATE_TIME_CONSTANT, now),
             requests: slow,
             tokens: slow,
-            runs: slow,
+            completions: slow,
             held: slow,
         }
     }
 
-    /// Counts a request that has `tokens` prompt tokens to read.
+    /// Records a request with `tokens` prompt tokens to read.
     pub fn request(&mut self, tokens: u32, now: Instant) {
         if self.rate(now) <= 0.0 {
-            self.since = Some(now);
-            self.rate = Fading::new(RATE_SPAN, now);
+            self.started_at = Some(now);
+            self.rate = DecayingSum::new(RATE_TIME_CONSTANT, now);
         }
         self.rate.add(1.0, now);
         self.requests.add(1.0, now);
         self.tokens.add(f64::from(tokens), now);
     }
 
-    /// Counts a request that ended, after it held its slot for `held` seconds.
+    /// Records that a request ended after holding its slot for `held` seconds.
     pub fn ended(&mut self, held: f64, now: Instant) {
-        self.runs.add(1.0, now);
+        self.completions.add(1.0, now);
         self.held.add(held, now);
     }
 
-    /// Returns the requests a second; none once they have ended.
+    /// Returns the requests per second; 0 once the load has ended.
     pub fn rate(&self, now: Instant) -> f64 {
-        // A sum that has just begun does not cover its whole span yet.
-        let age = self.since.map_or(0.0, |t| now.saturating_duration_since(t).as_secs_f64());
-        let covered = RATE_SPAN * (1.0 - (-age.max(SHORTEST_SPAN) / RATE_SPAN).exp());
+        // A sum that started recently does not cover its whole time constant yet.
+        let age = self.started_at.map_or(0.0, |t| now.saturating_duration_since(t).as_secs_f64());
+        let covered =
+            RATE_TIME_CONSTANT * (1.0 - (-age.max(MIN_RATE_PERIOD) / RATE_TIME_CONSTANT).exp());
         let last = self.rate.sum / covered;
-        let silent = now.saturating_duration_since(self.rate.at).as_secs_f64();
-        if silent * last > ENDED_AFTER {
+        let idle = now.saturating_duration_since(self.rate.at).as_secs_f64();
+        if idle * last > END_OF_LOAD_INTERVALS {
             return 0.0;
         }
         self.rate.get(now) / covered
     }
 
-    /// Returns the load as it is now.
+    /// Returns the current load.
     pub fn load(&self, now: Instant) -> ServiceLoad {
         ServiceLoad { rate: self.rate(now), cost: self.cost(now).unwrap_or_default() }
     }
 
-    /// Returns what a request costs; `None` before the first one. Until one has
-    /// ended, the time for which it holds a slot is that of the start values.
+    /// Returns the average cost of a request; `None` before the first request. Until a request
+    /// has ended, the default slot time of [`EngineSpeed`] applies.
     pub fn cost(&self, now: Instant) -> Option<RequestCost> {
-        let mean = |sum: &Fading, count: &Fading| {
+        let mean = |sum: &DecayingSum, count: &DecayingSum| {
             let count = count.get(now);
             (count > 0.0).then(|| sum.get(now) / count)
         };
         let tokens = mean(&self.tokens, &self.requests)?;
-        let held = mean(&self.held, &self.runs).unwrap_or(EngineSpeed::default().held);
+        let held = mean(&self.held, &self.completions).unwrap_or(EngineSpeed::default().held);
         Some(RequestCost { tokens, held })
     }
 }
 
-/// Requests that callers bring to one service.
+/// Load of one service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ServiceLoad {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// What one of them costs.
+    /// Average cost of a request.
     pub cost: RequestCost,
 }
 
-/// Returns what a request costs on average over the loads of all processes, by their
-/// rates; `None` without load. One of many processes sees too few requests for a mean
-/// of its own to hold while upstreams are lost.
+/// Returns the average cost of a request over the loads of all processes, weighted by their
+/// rates; `None` without load. One of many processes sees too few requests for its own average
+/// to be reliable while upstreams are lost.
 pub fn mean_cost(loads: impl Iterator<Item = ServiceLoad>) -> Option<RequestCost> {
     let (mut rate, mut sum) = (0.0, RequestCost::default());
     for load in loads {
@@ -151,24 +153,25 @@
     (rate > 0.0).then(|| RequestCost { tokens: sum.tokens / rate, held: sum.held / rate })
 }
 
-/// What a load keeps busy, on average.
+/// Average capacity that a load occupies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Busy {
-    /// Engines that read prompts.
+    /// Number of engines occupied with reading prompts.
     pub reading: f64,
-    /// Slots that are held.
+    /// Number of slots in use.
     pub slots: f64,
 }
 
-/// Returns what a load keeps busy.
+/// Returns the average capacity that a load occupies at engines of the given speed.
 pub fn busy(load: ServiceLoad, speed: EngineSpeed) -> Busy {
     let ServiceLoad { rate, cost } = load;
     Busy { reading: rate * cost.tokens * speed.per_token, slots: rate * cost.held }
 }
 
-/// Returns the engines needed so that so much may be busy, each with so many
-/// `slots`. What is busy at a moment varies by the square root of its mean, in the
-/// unit that a request takes: an engine that reads its prompt, or one of many slots.
+/// Returns the engines required for the occupied capacity, where each engine has `slots` slots.
+/// The occupied capacity varies by about the square root of its mean, so `safety` times that is
+/// added, separately for engines that read prompts and for slots, since a request occupies one
+/// of each.
 pub fn engines_needed(busy: Busy, slots: u32, safety: f64) -> f64 {
     let with_margin = |mean: f64| mean + safety * mean.sqrt();
     with_margin(busy.reading) + with_margin(busy.slots) / f64::from(slots.max(1))
--- a/src/gateway/decide/orders.rs
+++ b/src/gateway/decide/orders.rs
@@ -1,5 +1,5 @@
-//! Orders of engines of all services: what may be expected of earlier ones, and what
-//! the next holder of the lease has to know of them.
+//! Orders of engines for all services: which engines of earlier orders may still start, and
+//! what the next holder of the lease needs to know about them.
 
 use std::{
     collections::BTreeMap,
@@ -8,81 +8,81 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Fleet, OrderPace, OrderState, PaceInput};
+use super::{Fleet, OrderPacer, OrderState, PaceInput};
 use crate::{gateway::model::ServiceName, ids::DataCentre};
 
-/// Which engines an order is about.
+/// Service, data centre and kind of engine that an order is for.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct OrderKey {
-    /// Service.
+    /// Service whose engines are ordered.
     pub service: ServiceName,
-    /// Data centre.
+    /// Data centre in which the engines run.
     pub data_centre: DataCentre,
     /// Whether the engines are reclaimable.
     pub reclaimable: bool,
 }
 
-/// The last order of some engines, as the next holder of the lease needs to know it.
+/// The last order for a key, as the next holder of the lease needs to know it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderReport {
-    /// Which engines.
+    /// Service, data centre and kind of engine.
     pub key: OrderKey,
-    /// How many were ordered last and accepted.
+    /// Number of engines in the last accepted order.
     pub count: u32,
-    /// Whether the platform has said of late that it has none to give.
+    /// Whether the platform has recently refused an order because it had no engines to give.
     pub refused: bool,
-    /// How long ago it was given, in milliseconds.
+    /// Time since the last order was sent, in milliseconds.
     pub age_ms: u32,
 }
 
-/// Orders of engines of all services.
+/// Orders of engines for all services.
 #[derive(Debug, Default)]
 pub struct OrderBook {
-    paces: BTreeMap<OrderKey, OrderPace>,
+    pacers: BTreeMap<OrderKey, OrderPacer>,
 }
 
 impl OrderBook {
-    /// Forgets all orders: another process gives them from now on.
+    /// Drops all orders, for when another process gives them from now on.
     pub fn clear(&mut self) {
-        self.paces.clear();
+        self.pacers.clear();
     }
 
-    /// Goes on from the orders of the holder before, unless this process has given
-    /// some itself. Without them a new holder gave up engines on demand that had just
-    /// been ordered, and expected reclaimable ones that were not to be had: six
-    /// seconds without cover in a wave of reclaims, from the log of one.
+    /// Takes over the orders of the previous holder, unless this process has already given
+    /// some. Without them, a new holder gives up engines on demand that were ordered just
+    /// before, and expects reclaimable engines that the platform has refused; in one observed
+    /// series of reclaims this left the load without cover for six seconds.
     pub fn resume(&mut self, reports: &[OrderReport], now: Instant) {
-        if !self.paces.is_empty() {
+        if !self.pacers.is_empty() {
             return;
         }
-        let paces = reports.iter().map(|report| {
+        let pacers = reports.iter().map(|report| {
             let age = Duration::from_millis(report.age_ms.into());
             let at = now.checked_sub(age).unwrap_or(now);
-            let pace = OrderPace::resumed(report.count, report.refused, at);
-            (report.key.clone(), pace)
+            let pacer = OrderPacer::resumed(report.count, report.refused, at);
+            (report.key.clone(), pacer)
         });
-        self.paces = paces.collect();
+        self.pacers = pacers.collect();
     }
 
-    /// Returns the orders, for the holder after this one.
+    /// Returns the orders for the next holder of the lease.
     pub fn reports(&self, now: Instant) -> Vec<OrderReport> {
-        let report = |(key, pace): (&OrderKey, &OrderPace)| OrderReport {
+        let report = |(key, pacer): (&OrderKey, &OrderPacer)| OrderReport {
             key: key.clone(),
-            count: pace.count(),
-            refused: pace.is_refused(now),
-            age_ms: now.saturating_duration_since(pace.at()).as_millis() as u32,
+            count: pacer.count(),
+            refused: pacer.is_refused(now),
+            age_ms: now.saturating_duration_since(pacer.ordered_at()).as_millis() as u32,
         };
-        self.paces.iter().map(report).collect()
+        self.pacers.iter().map(report).collect()
     }
 
-    /// Returns whether the platform has no reclaimable engines of a service to give.
+    /// Returns whether the platform has recently refused reclaimable engines to a service.
     pub fn is_dry(&self, service: &str, now: Instant) -> bool {
-        let of_service = self.paces.iter().filter(|(key, _)| key.service == service);
+        let of_service = self.pacers.iter().filter(|(key, _)| key.service == service);
         let mut reclaimable = of_service.filter(|(key, _)| key.reclaimable);
-        reclaimable.any(|(_, pace)| pace.is_refused(now))
+        reclaimable.any(|(_, pacer)| pacer.is_refused(now))
     }
 
-    /// Adds to a service's fleets what may be expected of earlier orders.
+    /// Sets in each data centre which engines of earlier orders may still start.
     pub fn expect(
         &self,
         service: &str,
@@ -91,30 +91,30 @@
         now: Instant,
     ) {
         for (data_centre, fleet) in fleets {
-            let pace = |reclaimable| {
+            let pacer = |reclaimable| {
                 let (service, data_centre) = (service.to_owned(), data_centre.clone());
-                self.paces.get(&OrderKey { service, data_centre, reclaimable })
+                self.pacers.get(&OrderKey { service, data_centre, reclaimable })
             };
-            fleet.more_expected = pace(true).is_none_or(|p| p.may_start(boot, now));
+            fleet.reclaimable_expected = pacer(true).is_none_or(|p| p.may_start(boot, now));
             fleet.on_demand_starting =
-                pace(false).map_or(0, |p| p.starting(fleet.on_demand, boot, now));
+                pacer(false).map_or(0, |p| p.starting(fleet.on_demand, boot, now));
         }
     }
 
-    /// Returns how many of these engines to order now; `None` for no order. An order
-    /// counts as sent once it is returned.
+    /// Returns the number of engines to order now; `None` if no order is due. The order is
+    /// taken to be sent when this returns.
     pub fn next(&mut self, key: &OrderKey, input: &PaceInput, now: Instant) -> Option<u32> {
-        let pace = self.paces.entry(key.clone());
-        let pace = pace.or_insert_with(|| OrderPace::new(input.serving, now));
-        let count = pace.next(input, now)?;
-        pace.sent(now);
+        let entry = self.pacers.entry(key.clone());
+        let pacer = entry.or_insert_with(|| OrderPacer::new(input.serving, now));
+        let count = pacer.next_order(input, now)?;
+        pacer.record_sent(now);
         Some(count)
     }
 
-    /// Notes what became of an order of `count`.
+    /// Records the result of an order of `count` engines.
     pub fn answered(&mut self, key: &OrderKey, count: u32, state: OrderState) {
-        if let Some(pace) = self.paces.get_mut(key) {
-            pace.answered(count, state);
+        if let Some(pacer) = self.pacers.get_mut(key) {
+            pacer.record_result(count, state);
         }
     }
 }
--- a/src/gateway/decide/pace.rs
+++ b/src/gateway/decide/pace.rs
@@ -1,33 +1,32 @@
-//! When to order engines, given how many are wished for: more at once, fewer
-//! only after a while.
+//! Timing of engine orders: increases are ordered at once, and reductions only after a delay.
 
 use std::time::{Duration, Instant};
 
-/// How long a smaller number must suffice before engines are given up: engines
-/// that have just started fail at times. The need itself is that of the last
-/// seconds, so that waves of load give up none.
-const HOLD_BEFORE_FEWER: Duration = Duration::from_secs(1);
-/// Pause after an order that was refused or got no answer.
-const PAUSE_AFTER_REFUSAL: Duration = Duration::from_millis(1_800);
-/// Time for which a refusal tells that the platform has none to give. As long as
-/// more are wished for, an order is tried every two seconds and tells anew.
-const REFUSAL_TELLS: Duration = Duration::from_secs(4);
-/// Time beyond the start of an engine after which those that do not serve are
-/// ordered anew.
-const BOOT_SLACK: Duration = Duration::from_secs(3);
-
-/// What is wished for now of one kind of engine in one data centre.
+/// Time for which a smaller number must suffice before engines are given up: engines that have
+/// just started sometimes fail. The requirement itself is the peak of the last seconds, so
+/// fluctuations of the load do not cause reductions.
+const REDUCTION_DELAY: Duration = Duration::from_secs(1);
+/// Delay after an order that was refused or not answered, before the next one.
+const RETRY_DELAY: Duration = Duration::from_millis(1_800);
+/// Time for which a refusal shows that the platform has no engines to give. While more engines
+/// are desired, an order is sent every two seconds and renews the information.
+const REFUSAL_VALIDITY: Duration = Duration::from_secs(4);
+/// Time beyond the start time of an engine after which engines that do not serve are ordered
+/// again.
+const BOOT_GRACE: Duration = Duration::from_secs(3);
+
+/// Current state of one kind of engine in one data centre.
 #[derive(Clone, Copy, Debug)]
 pub struct PaceInput {
-    /// Engines wished for.
+    /// Number of engines to have.
     pub wished: u32,
-    /// Engines that serve.
+    /// Number of engines that serve.
     pub serving: u32,
-    /// Whether they are reclaimable.
+    /// Whether the engines are reclaimable.
     pub reclaimable: bool,
     /// Whether the platform has no reclaimable engines to give.
     pub dry: bool,
-    /// Whether the service has no load: engines are then given up at once.
+    /// Whether the service has no load; engines are then given up without delay.
     pub idle: bool,
     /// Whether the load is known well enough to give up engines.
     pub load_known: bool,
@@ -35,81 +34,82 @@
     pub boot: Duration,
 }
 
-/// Wishes for fewer engines.
+/// A reduction that has not been ordered yet.
 #[derive(Clone, Copy, Debug)]
-struct Fewer {
+struct PendingReduction {
     since: Instant,
-    /// Largest wish since then.
-    most: u32,
+    /// Largest desired number since then.
+    max_desired: u32,
 }
 
-/// What became of the last order.
+/// Result of the last order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderState {
-    /// It was accepted, or none was given.
+    /// The order was accepted, or none has been sent.
     Accepted,
-    /// The platform has none to give.
+    /// The platform has no engines to give.
     Refused,
-    /// No answer came, or a failure: it may be carried out or not.
+    /// The order failed or was not answered; it may or may not be carried out.
     Unknown,
 }
 
 /// Orders of one kind of engine in one data centre.
 #[derive(Clone, Copy, Debug)]
-pub struct OrderPace {
+pub struct OrderPacer {
     count: u32,
-    at: Instant,
+    ordered_at: Instant,
     state: OrderState,
-    busy: bool,
-    /// Engines that served when it was last looked at.
-    served: u32,
-    /// Whether engines have gone since the last order that it did not give up.
-    lost: bool,
-    fewer: Option<Fewer>,
+    in_flight: bool,
+    /// Number of serving engines when last observed.
+    last_serving: u32,
+    /// Whether engines have gone since the last order that no order gave up.
+    lost_engines: bool,
+    pending_reduction: Option<PendingReduction>,
 }
 
-impl OrderPace {
-    /// Begins with the engines that serve.
+impl OrderPacer {
+    /// Starts with the engines that serve.
     pub fn new(serving: u32, now: Instant) -> Self {
         Self {
             count: serving,
-            at: now,
+            ordered_at: now,
             state: OrderState::Accepted,
-            busy: false,
-            served: serving,
-            lost: false,
-            fewer: None,
+            in_flight: false,
+            last_serving: serving,
+            lost_engines: false,
+            pending_reduction: None,
         }
     }
 
-    /// Goes on from the last order of an earlier holder of the lease, given at `at`:
-    /// what it ordered may still start, and what was refused is not to be had yet.
+    /// Continues from the last order of the previous holder of the lease, sent at `at`:
+    /// accepted engines may still start, and refused ones are not available yet.
     pub fn resumed(count: u32, refused: bool, at: Instant) -> Self {
         let state = if refused { OrderState::Refused } else { OrderState::Accepted };
         Self { state, ..Self::new(count, at) }
     }
 
-    /// Returns when the last order was given.
-    pub fn at(&self) -> Instant {
-        self.at
+    /// Returns when the last order was sent.
+    pub fn ordered_at(&self) -> Instant {
+        self.ordered_at
     }
 
-    /// Returns how many were ordered last and accepted.
+    /// Returns the number of engines in the last accepted order.
     pub fn count(&self) -> u32 {
         self.count
     }
 
-    /// Returns whether the platform has said of late that it has none to give.
+    /// Returns whether the platform has recently refused an order because it had no engines to
+    /// give.
     pub fn is_refused(&self, now: Instant) -> bool {
-        let age = now.saturating_duration_since(self.at);
-        self.state == OrderState::Refused && (self.busy || age < REFUSAL_TELLS)
+        let age = now.saturating_duration_since(self.ordered_at);
+        self.state == OrderState::Refused && (self.in_flight || age < REFUSAL_VALIDITY)
     }
 
     /// Returns whether engines that were ordered may still start.
     pub fn may_start(&self, boot: Duration, now: Instant) -> bool {
-        let age = now.saturating_duration_since(self.at);
-        let waits = self.busy || (!self.lost && age < boot + BOOT_SLACK);
-        self.state != OrderState::Refused && waits
+        let age = now.saturating_duration_since(self.ordered_at);
+        let awaited = self.in_flight || (!self.lost_engines && age < boot + BOOT_GRACE);
+        self.state != OrderState::Refused && awaited
     }
 
     /// Returns how many engines beyond those that serve may still start.
@@ -117,66 +117,67 @@
         if self.may_start(boot, now) { self.count.saturating_sub(serving) } else { 0 }
     }
 
-    /// Returns how many engines to order now; `None` for no order.
-    pub fn next(&mut self, input: &PaceInput, now: Instant) -> Option<u32> {
-        let age = now.saturating_duration_since(self.at);
-        self.look(input.serving);
+    /// Returns the number of engines to order now; `None` if no order is due.
+    pub fn next_order(&mut self, input: &PaceInput, now: Instant) -> Option<u32> {
+        let age = now.saturating_duration_since(self.ordered_at);
+        self.observe_serving(input.serving);
         let accepted = self.state == OrderState::Accepted;
-        if self.busy || (!accepted && age < PAUSE_AFTER_REFUSAL) {
+        if self.in_flight || (!accepted && age < RETRY_DELAY) {
             return None;
         }
         let PaceInput { wished, serving, .. } = *input;
         if wished > serving && (wished > self.count || !accepted) {
-            self.fewer = None;
+            self.pending_reduction = None;
             return Some(wished);
         }
-        // Engines of an earlier holder's order may show up late.
+        // Engines that the previous holder ordered may show up late.
         if wished < self.count.max(serving) {
-            return self.fewer(input, now);
+            return self.reduce(input, now);
         }
-        self.fewer = None;
-        // The platform took engines back, or they do not start.
-        let gone = self.lost || age >= input.boot + BOOT_SLACK;
-        (serving < wished && gone).then_some(wished)
+        self.pending_reduction = None;
+        // The platform has reclaimed engines, or ordered ones do not start.
+        let missing = self.lost_engines || age >= input.boot + BOOT_GRACE;
+        (serving < wished && missing).then_some(wished)
     }
 
-    /// Notices that engines have gone which were not given up: those that were
-    /// ordered before will not start in their place.
-    fn look(&mut self, serving: u32) {
-        self.lost |= serving < self.served && serving < self.count;
-        self.served = serving;
+    /// Detects that engines have gone which were not given up. Engines of the last order will
+    /// not start in their place.
+    fn observe_serving(&mut self, serving: u32) {
+        self.lost_engines |= serving < self.last_serving && serving < self.count;
+        self.last_serving = serving;
     }
 
-    fn fewer(&mut self, input: &PaceInput, now: Instant) -> Option<u32> {
-        // Once given up, they may not be had again.
-        let not_to_be_had = input.dry && input.reclaimable && !input.idle;
-        if !input.load_known || not_to_be_had {
-            self.fewer = None;
+    fn reduce(&mut self, input: &PaceInput, now: Instant) -> Option<u32> {
+        // The platform may have no others to give after these are given up.
+        let irreplaceable = input.dry && input.reclaimable && !input.idle;
+        if !input.load_known || irreplaceable {
+            self.pending_reduction = None;
             return None;
         }
         if input.idle {
             return Some(input.wished);
         }
-        let fewer = self.fewer.get_or_insert(Fewer { since: now, most: 0 });
-        fewer.most = fewer.most.max(input.wished);
-        let held = now.saturating_duration_since(fewer.since);
-        (held >= HOLD_BEFORE_FEWER).then_some(fewer.most)
+        let reduction =
+            self.pending_reduction.get_or_insert(PendingReduction { since: now, max_desired: 0 });
+        reduction.max_desired = reduction.max_desired.max(input.wished);
+        let held = now.saturating_duration_since(reduction.since);
+        (held >= REDUCTION_DELAY).then_some(reduction.max_desired)
     }
 
-    /// Notes that an order was sent.
-    pub fn sent(&mut self, now: Instant) {
-        self.busy = true;
-        self.lost = false;
-        self.at = now;
+    /// Records that an order was sent.
+    pub fn record_sent(&mut self, now: Instant) {
+        self.in_flight = true;
+        self.lost_engines = false;
+        self.ordered_at = now;
     }
 
-    /// Notes what became of an order of `count`.
-    pub fn answered(&mut self, count: u32, state: OrderState) {
-        self.busy = false;
+    /// Records the result of an order of `count` engines.
+    pub fn record_result(&mut self, count: u32, state: OrderState) {
+        self.in_flight = false;
         self.state = state;
         if state == OrderState::Accepted {
             self.count = count;
-            self.fewer = None;
+            self.pending_reduction = None;
         }
     }
 }
--- a/src/gateway/decide/peak.rs
+++ b/src/gateway/decide/peak.rs
@@ -1,58 +1,58 @@
-//! The largest need of the last seconds, for each kind of engine.
+//! Peak of the engine requirement over the last seconds, for each kind of engine.
 //!
-//! The need is kept to, and not what is wished for because of it: engines on demand
-//! then go as soon as reclaimable ones carry the load. Keeping to the wish held them
-//! for ten seconds more after each loss.
+//! The peak is taken of the requirement and not of the planned number of engines, so that
+//! engines on demand are given up as soon as reclaimable ones carry the load. A peak of the
+//! planned number kept them for ten seconds longer after each loss.
 
 use std::{
     collections::VecDeque,
     time::{Duration, Instant},
 };
 
-/// For how long reclaimable engines are kept for the largest need: while it falls,
-/// their caches are warm, and it is no larger for that; with fewer of them it rises
-/// again. They cost a fraction of the others.
-const KEEP_RECLAIMABLE: Duration = Duration::from_secs(20);
+/// Time over which the peak counts for reclaimable engines. While the load falls, keeping them
+/// keeps their caches warm, which does not raise the requirement; with fewer engines the
+/// requirement would rise again. They cost a fraction of engines on demand.
+const RECLAIMABLE_PEAK_SPAN: Duration = Duration::from_secs(20);
 
-/// The largest need of a span of time.
+/// Peak of the requirement over a span of time.
 #[derive(Clone, Debug)]
 pub struct NeedPeak {
     span: Duration,
-    /// Falling needs, each with its time: the first is the largest.
-    falling: VecDeque<(Instant, f64)>,
+    /// Requirements in decreasing order, each with its time; the first is the peak.
+    decreasing: VecDeque<(Instant, f64)>,
 }
 
 impl NeedPeak {
-    /// Begins without a need; the largest of `span` counts.
+    /// Creates a peak over the last `span`, without a requirement.
     pub fn new(span: Duration) -> Self {
-        Self { span, falling: VecDeque::new() }
+        Self { span, decreasing: VecDeque::new() }
     }
 
-    /// Notes the need at `now` and returns the largest of late.
-    pub fn note(&mut self, need: f64, now: Instant) -> f64 {
-        while self.falling.back().is_some_and(|(_, n)| *n <= need) {
-            self.falling.pop_back();
+    /// Records the requirement at `now` and returns the peak.
+    pub fn record(&mut self, need: f64, now: Instant) -> f64 {
+        while self.decreasing.back().is_some_and(|(_, n)| *n <= need) {
+            self.decreasing.pop_back();
         }
-        self.falling.push_back((now, need));
+        self.decreasing.push_back((now, need));
         let span = self.span;
-        let old = |at: Instant| now.saturating_duration_since(at) > span;
-        while self.falling.front().is_some_and(|(at, _)| old(*at)) {
-            self.falling.pop_front();
+        let expired = |at: Instant| now.saturating_duration_since(at) > span;
+        while self.decreasing.front().is_some_and(|(at, _)| expired(*at)) {
+            self.decreasing.pop_front();
         }
-        self.falling.front().map_or(need, |(_, n)| *n)
+        self.decreasing.front().map_or(need, |(_, n)| *n)
     }
 }
 
-/// Engines that a load needs, for each kind of them.
+/// Engines that a load requires, for each kind of engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Need {
-    /// Engines in all.
+    /// Engines required in total.
     pub engines: f64,
-    /// Engines for which reclaimable ones are kept.
+    /// Engines for which reclaimable ones are kept; the peak over a longer time.
     pub reclaimable: f64,
 }
 
-/// Follows the need of a load.
+/// Follows the requirement of a load.
 #[derive(Clone, Debug)]
 pub struct NeedMeter {
     engines: NeedPeak,
@@ -60,18 +60,18 @@
 }
 
 impl NeedMeter {
-    /// Begins without a need. Load comes in waves, and an engine takes `boot` to
-    /// start, so that the largest need of that time counts.
+    /// Creates a meter without a requirement. Load fluctuates, and an engine takes `boot` to
+    /// start, so the peak over that time counts.
     pub fn new(boot: Duration) -> Self {
-        let reclaimable = NeedPeak::new(KEEP_RECLAIMABLE.max(boot));
+        let reclaimable = NeedPeak::new(RECLAIMABLE_PEAK_SPAN.max(boot));
         Self { engines: NeedPeak::new(boot), reclaimable }
     }
 
-    /// Notes the need at `now` and returns what engines are kept for.
+    /// Records the requirement at `now` and returns the engines to keep.
     pub fn note(&mut self, need: f64, now: Instant) -> Need {
         Need {
-            engines: self.engines.note(need, now),
-            reclaimable: self.reclaimable.note(need, now),
+            engines: self.engines.record(need, now),
+            reclaimable: self.reclaimable.record(need, now),
         }
     }
 }
--- a/src/gateway/decide/quota.rs
+++ b/src/gateway/decide/quota.rs
@@ -1,13 +1,13 @@
-//! Quotas of customers over all processes together.
+//! Quotas of customers, enforced over all processes together.
 //!
-//! Each process keeps one token bucket for each customer and takes from it
-//! what it admits itself and what the others say that they admitted. The level
-//! may fall below zero while views differ; nothing is admitted until the debt
-//! is paid, so the rate holds over every longer span.
+//! Each process keeps one token bucket per customer. It takes from it what it admits itself and
+//! what the other processes report to have admitted. While views differ, the level may fall
+//! below zero; nothing is admitted until the debt is paid, so the rate holds over every longer
+//! time span.
 //!
-//! The operator counts over a window of seconds. Within it a bucket may hold
-//! some more than the burst, since a few large requests come at once now and
-//! then; the sum over the window still keeps rate and burst.
+//! The operator counts over a window of some seconds. A bucket may hold more than the burst,
+//! since a few large requests sometimes arrive at once; the sum over the window is limited to
+//! rate and burst in addition.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -17,40 +17,40 @@
 use super::WindowSum;
 use crate::gateway::model::{CustomerName, Quota};
 
-/// Shortest time after which a refused caller is asked to come back.
-const SHORTEST_WAIT: Duration = Duration::from_millis(200);
+/// Lower limit of the retry delay given to a refused caller.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Longest such time.
-const LONGEST_WAIT: Duration = Duration::from_secs(60);
+/// Upper limit of the retry delay given to a refused caller.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(60);
 
-/// Time after its start in which a process does not refill its buckets: it may
-/// not have heard yet of the others that share the rate. Their heartbeats come
-/// several times a second.
-const HEARING_TIME: Duration = Duration::from_millis(500);
+/// Time after the start of a process in which it does not refill its buckets, since it may not
+/// have heard yet from the others that share the rate. Their heartbeats come several times a
+/// second.
+const DISCOVERY_TIME: Duration = Duration::from_millis(500);
 
-/// For how long a process that is not heard is taken to go on as before. With
-/// hundreds of processes each is heard about once in this time. After it the
-/// process is gone, or cut off and lives on its own part of the rate, which
-/// this process does not count on either.
-const LONGEST_ASSUMED: Duration = Duration::from_millis(1_500);
-/// Window of an operator who names none.
+/// Time for which a process that is not heard from is assumed to admit requests at its last
+/// known rate. With hundreds of processes, each is heard from about once in this time. After
+/// it, the process has ended, or it is cut off and uses its own fraction of the rate, which
+/// this process does not use either.
+const MAX_ASSUMED_TIME: Duration = Duration::from_millis(1_500);
+/// Window over which the operator counts if the settings name none.
 const DEFAULT_WINDOW: Duration = Duration::from_secs(8);
-/// Shortest span over which the rate of another process is judged.
-const SHORTEST_SPAN: f64 = 0.1;
+/// Shortest time over which the rate of another process is computed, in seconds.
+const MIN_RATE_PERIOD: f64 = 0.1;
 
-/// Which part of a quota this process may count on: its own and that of the
-/// processes it hears from. The others may be cut off and still serve, or have
-/// just started like this one.
+/// Fraction of a quota that this process may use: its own and that of the processes it hears
+/// from. The others may be cut off and still serve requests, or may just have started like this
+/// one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaShare {
     /// Processes that are heard from, this one included.
     pub heard: usize,
-    /// Processes that may be serving.
+    /// Processes that may be serving requests.
     pub members: usize,
 }
 
 impl QuotaShare {
-    fn part(self) -> f64 {
+    fn fraction(self) -> f64 {
         self.heard.max(1) as f64 / self.members.max(self.heard).max(1) as f64
     }
 }
@@ -58,9 +58,9 @@
 /// How the operator counts quotas.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaTerms {
-    /// Window over which a customer's requests are summed up.
+    /// Window over which a customer's requests are summed.
     pub window: Duration,
-    /// What a bucket holds beyond the burst.
+    /// Tokens that a bucket may hold beyond the burst.
     pub extra: f64,
 }
 
@@ -70,22 +70,22 @@
     }
 }
 
-/// What another process admitted, as last heard. Until it is heard again it is
-/// taken to go on at the same rate.
+/// Tokens that another process has admitted, as last reported. Until its next report it is
+/// assumed to continue at the same rate.
 #[derive(Clone, Copy, Debug)]
-struct Other {
+struct PeerUsage {
     total: i64,
-    heard: Instant,
+    heard_at: Instant,
     rate: f64,
 }
 
-impl Other {
-    fn assumed(&self, now: Instant) -> f64 {
-        let silent = now.saturating_duration_since(self.heard);
-        if silent > LONGEST_ASSUMED {
+impl PeerUsage {
+    fn assumed_tokens(&self, now: Instant) -> f64 {
+        let silence = now.saturating_duration_since(self.heard_at);
+        if silence > MAX_ASSUMED_TIME {
             return 0.0;
         }
-        self.rate * silent.as_secs_f64()
+        self.rate * silence.as_secs_f64()
     }
 }
 
@@ -93,58 +93,57 @@
 struct Bucket {
     quota: Quota,
     level: f64,
-    at: Instant,
-    own: i64,
-    others: HashMap<String, Other>,
+    refilled_at: Instant,
+    own_total: i64,
+    peers: HashMap<String, PeerUsage>,
     admitted: WindowSum,
 }
 
-/// Buckets of all customers.
+/// Token buckets of all customers.
 #[derive(Debug)]
 pub struct QuotaBook {
     buckets: HashMap<CustomerName, Bucket>,
-    filling_since: Instant,
-    restored: BTreeMap<CustomerName, f64>,
+    refill_from: Instant,
+    restored_levels: BTreeMap<CustomerName, f64>,
     terms: QuotaTerms,
 }
 
-/// Why a request lies beyond its customer's quota.
+/// Reason for which a request exceeds its customer's quota.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaUsedUp {
-    /// Time after which it is worth coming back.
+    /// Time after which a retry can succeed.
     pub wait: Duration,
-    /// Tokens in the bucket; a debt if negative.
+    /// Tokens in the bucket; negative for a debt.
     pub level: f64,
-    /// Tokens admitted in the operator's window, by all processes.
+    /// Tokens that all processes have admitted in the operator's window.
     pub in_window: f64,
-    /// Tokens that silent processes are taken to have admitted since.
+    /// Tokens that other processes are assumed to have admitted since their last reports.
     pub assumed: f64,
-    /// The part of the quota that was counted on.
+    /// Fraction of the quota that this process may use.
     pub share: QuotaShare,
 }
 
-/// What another process says that it admitted for a customer.
+/// Total that another process reports to have admitted for a customer.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerTotal<'a> {
-    /// The process.
+    /// Process that reports the total.
     pub process: &'a str,
-    /// Whether it started well before this one.
+    /// Whether the process started well before this one.
     pub older: bool,
-    /// The customer.
+    /// Customer whose requests were admitted.
     pub customer: &'a CustomerName,
-    /// Tokens since the start of that process.
+    /// Tokens admitted since the start of the process.
     pub total: i64,
 }
 
 impl QuotaBook {
-    /// Creates the book of a process that started at `started`. All buckets
-    /// are empty then, until kept levels are restored: the processes before may
-    /// have used everything just now.
+    /// Creates the buckets of a process that started at `started`. They are empty until stored
+    /// levels are restored: the processes before may have used the whole quota just before.
     pub fn new(started: Instant) -> Self {
         Self {
             buckets: HashMap::new(),
-            filling_since: started + HEARING_TIME,
-            restored: BTreeMap::new(),
+            refill_from: started + DISCOVERY_TIME,
+            restored_levels: BTreeMap::new(),
             terms: QuotaTerms::default(),
         }
     }
@@ -171,13 +170,13 @@
         let bucket = self.bucket(customer, quota, now);
         bucket.refill(share, terms, now);
         let tokens = tokens as f64;
-        let assumed = bucket.assumed(now);
+        let assumed = bucket.assumed_tokens(now);
         let wait = bucket
             .wait_for_level(tokens, assumed, share, terms)
             .max(bucket.wait_for_window(tokens, assumed, share, terms, now));
         if let Some(wait) = wait {
             return Err(QuotaUsedUp {
-                wait: wait.clamp(SHORTEST_WAIT, LONGEST_WAIT),
+                wait: wait.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY),
                 level: bucket.level,
                 in_window: bucket.admitted.total(terms.window, now),
                 assumed,
@@ -185,56 +184,56 @@
             });
         }
         bucket.level -= tokens;
-        bucket.own += tokens as i64;
+        bucket.own_total += tokens as i64;
         bucket.admitted.add(tokens, terms.window, now);
         Ok(())
     }
 
-    /// Gives back what a request took that did not run.
+    /// Returns the tokens of a request that did not run.
     pub fn give_back(&mut self, customer: &CustomerName, tokens: u64, now: Instant) {
         if let Some(bucket) = self.buckets.get_mut(customer) {
             bucket.level += tokens as f64;
-            bucket.own -= tokens as i64;
+            bucket.own_total -= tokens as i64;
             bucket.admitted.add(-(tokens as f64), self.terms.window, now);
         }
     }
 
-    /// Notes how much another process has admitted since it started. What an
-    /// `older` process admitted before it was first heard of is past: it is in
-    /// the levels that this process began with.
+    /// Records the total that another process has admitted since its start. What an `older`
+    /// process admitted before its first report to this one is ignored: it is already part of
+    /// the levels that this process started from.
     pub fn hear(&mut self, peer: PeerTotal<'_>, quota: Quota, now: Instant) {
         let window = self.terms.window;
         let bucket = self.bucket(peer.customer, quota, now);
-        let before = bucket.others.get(peer.process).copied();
-        let known = before.map_or(if peer.older { peer.total } else { 0 }, |b| b.total);
-        let admitted = (peer.total - known) as f64;
-        let rate = before.map_or(0.0, |b| {
-            let span = now.saturating_duration_since(b.heard).as_secs_f64();
-            (admitted / span.max(SHORTEST_SPAN)).max(0.0)
+        let previous = bucket.peers.get(peer.process).copied();
+        let baseline = previous.map_or(if peer.older { peer.total } else { 0 }, |p| p.total);
+        let admitted = (peer.total - baseline) as f64;
+        let rate = previous.map_or(0.0, |p| {
+            let period = now.saturating_duration_since(p.heard_at).as_secs_f64();
+            (admitted / period.max(MIN_RATE_PERIOD)).max(0.0)
         });
-        let other = Other { total: peer.total, heard: now, rate };
-        bucket.others.insert(peer.process.to_owned(), other);
+        let usage = PeerUsage { total: peer.total, heard_at: now, rate };
+        bucket.peers.insert(peer.process.to_owned(), usage);
         bucket.level = (bucket.level - admitted).max(-quota.burst);
         bucket.admitted.add(admitted, window, now);
     }
 
-    /// Begins with the levels that were kept from earlier processes.
+    /// Restores the levels that earlier processes stored.
     pub fn restore(&mut self, levels: &BTreeMap<CustomerName, f64>, now: Instant) {
         let extra = self.terms.extra;
         for (customer, level) in levels {
-            self.restored.insert(customer.clone(), *level);
+            self.restored_levels.insert(customer.clone(), *level);
             if let Some(bucket) = self.buckets.get_mut(customer) {
                 bucket.level = bucket.level.max(level.min(bucket.quota.burst + extra));
             }
         }
-        self.filling_since = self.filling_since.min(now);
+        self.refill_from = self.refill_from.min(now);
     }
 
-    /// Returns the levels as of now, to be kept for processes that start later. What
-    /// the others admit is taken off as it is heard, and the refill comes with this
-    /// process's own requests: without it a holder that sees few of a customer's
-    /// requests would keep a debt for a customer far within its quota, who would be
-    /// refused after a loss of all processes.
+    /// Returns the levels as of now, to be stored for processes that start later. Reports of
+    /// other processes reduce a level when they arrive, but otherwise only this process's own
+    /// requests refill it. Without the refill here, a holder that sees few of a customer's
+    /// requests would store a debt for a customer well within its quota, whose requests would
+    /// be refused after a restart of all processes.
     pub fn levels(&mut self, share: QuotaShare, now: Instant) -> BTreeMap<CustomerName, f64> {
         let terms = self.terms;
         let level = |(customer, bucket): (&CustomerName, &mut Bucket)| {
@@ -244,45 +243,45 @@
         self.buckets.iter_mut().map(level).collect()
     }
 
-    /// Returns what this process has admitted since it started, by customer.
+    /// Returns what this process has admitted since its start, by customer.
     pub fn own_totals(&self) -> impl Iterator<Item = (&CustomerName, i64)> {
-        self.buckets.iter().map(|(customer, b)| (customer, b.own))
+        self.buckets.iter().map(|(customer, b)| (customer, b.own_total))
     }
 
     fn bucket(&mut self, customer: &CustomerName, quota: Quota, now: Instant) -> &mut Bucket {
-        let up = now.saturating_duration_since(self.filling_since).as_secs_f64();
-        let kept = self.restored.get(customer).copied().unwrap_or(0.0);
-        let most = quota.burst + self.terms.extra;
+        let refill_seconds = now.saturating_duration_since(self.refill_from).as_secs_f64();
+        let stored = self.restored_levels.get(customer).copied().unwrap_or(0.0);
+        let max_level = quota.burst + self.terms.extra;
         let bucket = self.buckets.entry(customer.clone()).or_insert_with(|| Bucket {
             quota,
-            level: (kept + quota.rate * up).min(most),
-            at: now.max(self.filling_since),
-            own: 0,
-            others: HashMap::new(),
+            level: (stored + quota.rate * refill_seconds).min(max_level),
+            refilled_at: now.max(self.refill_from),
+            own_total: 0,
+            peers: HashMap::new(),
             admitted: WindowSum::default(),
         });
         if bucket.quota != quota {
             bucket.quota = quota;
-            bucket.level = bucket.level.min(most);
+            bucket.level = bucket.level.min(max_level);
         }
         bucket
     }
 }
 
 impl Bucket {
-    /// Returns what the others have likely admitted since they were heard.
-    fn assumed(&self, now: Instant) -> f64 {
-        self.others.values().map(|o| o.assumed(now)).sum()
+    /// Returns what the other processes have probably admitted since their last reports.
+    fn assumed_tokens(&self, now: Instant) -> f64 {
+        self.peers.values().map(|o| o.assumed_tokens(now)).sum()
     }
 
     fn refill(&mut self, share: QuotaShare, terms: QuotaTerms, now: Instant) {
-        let elapsed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.at = self.at.max(now);
-        let refill = self.quota.rate * share.part() * elapsed;
+        let elapsed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
+        self.refilled_at = self.refilled_at.max(now);
+        let refill = self.quota.rate * share.fraction() * elapsed;
         self.level = (self.level + refill).min(self.quota.burst + terms.extra);
     }
 
-    /// Returns how long the bucket takes to hold enough; `None` if it does.
+    /// Returns the time until the bucket holds enough tokens; `None` if it already does.
     fn wait_for_level(
         &self,
         tokens: f64,
@@ -290,20 +289,20 @@
         share: QuotaShare,
         terms: QuotaTerms,
     ) -> Option<Duration> {
-        let most = self.quota.burst + terms.extra;
-        // What is left to processes that are not heard.
-        let reserved = most * (1.0 - share.part());
-        // A request larger than all that it holds runs when the bucket is full.
-        let needed = tokens.min((most - reserved).max(1.0));
+        let max_level = self.quota.burst + terms.extra;
+        // Reserved for processes that are not heard from.
+        let reserved = max_level * (1.0 - share.fraction());
+        // A request larger than the capacity of the bucket runs when the bucket is full.
+        let needed = tokens.min((max_level - reserved).max(1.0));
         let level = self.level - assumed - reserved;
         (level < needed).then(|| {
-            let rate = (self.quota.rate * share.part()).max(1.0);
-            Duration::from_secs_f64(((needed - level) / rate).min(LONGEST_WAIT.as_secs_f64()))
+            let rate = (self.quota.rate * share.fraction()).max(1.0);
+            Duration::from_secs_f64(((needed - level) / rate).min(MAX_RETRY_DELAY.as_secs_f64()))
         })
     }
 
-    /// Returns how long it takes until the sum over the operator's window
-    /// leaves room; `None` if it does.
+    /// Returns the time until the sum over the operator's window leaves room for the request;
+    /// `None` if it already does.
     fn wait_for_window(
         &mut self,
         tokens: f64,
@@ -312,9 +311,9 @@
         terms: QuotaTerms,
         now: Instant,
     ) -> Option<Duration> {
-        let most = self.quota.rate * terms.window.as_secs_f64() + self.quota.burst;
-        let most = (most * share.part()).max(1.0);
-        let over = self.admitted.total(terms.window, now) + assumed + tokens.min(most) - most;
-        (over > 0.0).then(|| self.admitted.time_until_left(over, terms.window, now))
+        let limit = self.quota.rate * terms.window.as_secs_f64() + self.quota.burst;
+        let limit = (limit * share.fraction()).max(1.0);
+        let over = self.admitted.total(terms.window, now) + assumed + tokens.min(limit) - limit;
+        (over > 0.0).then(|| self.admitted.time_until_expired(over, terms.window, now))
     }
 }
--- a/src/gateway/decide/retry.rs
+++ b/src/gateway/decide/retry.rs
@@ -1,5 +1,5 @@
-//! Budget of second attempts, shared by all processes without talk: each
-//! counts its own requests and takes its part of the allowed surplus.
+//! Retry budget, shared by all processes without coordination: each process counts its own
+//! requests and takes an equal part of the surplus.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -8,43 +8,43 @@
 
 use crate::gateway::model::ServiceName;
 
-/// Share of the budget that is used: processes that come and go, and attempts
-/// that are counted elsewhere, have the rest.
-const USED_SHARE: f64 = 0.6;
+/// Fraction of the budget that is used. The rest covers processes that start or end, and
+/// attempts that are counted elsewhere.
+const USED_FRACTION: f64 = 0.6;
 
-/// Terms of the budget.
+/// Limits of the retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryTerms {
-    /// Second attempts for each request.
+    /// Retries allowed per request.
     pub ratio: f64,
-    /// Second attempts in a window beyond that, all processes together.
+    /// Additional retries allowed per window, over all processes.
     pub surplus: f64,
     /// Length of the window.
     pub window: Duration,
 }
 
 #[derive(Debug, Default)]
-struct History {
+struct ServiceHistory {
     requests: VecDeque<Instant>,
     retries: VecDeque<Instant>,
 }
 
-/// Requests and second attempts of this process, by service.
+/// Requests and retries of this process, by service.
 #[derive(Debug, Default)]
 pub struct RetryBook {
-    services: HashMap<ServiceName, History>,
+    services: HashMap<ServiceName, ServiceHistory>,
 }
 
 impl RetryBook {
-    /// Counts a request.
+    /// Records a request.
     pub fn request(&mut self, service: &ServiceName, terms: RetryTerms, now: Instant) {
         let history = self.services.entry(service.clone()).or_default();
-        history.forget(terms.window, now);
+        history.expire(terms.window, now);
         history.requests.push_back(now);
     }
 
-    /// Takes a second attempt from the budget; `false` if it is used up.
-    /// `processes` share the surplus.
+    /// Takes a retry from the budget; returns `false` if the budget is used up. `processes` is
+    /// the number of processes that share the surplus.
     pub fn take(
         &mut self,
         service: &ServiceName,
@@ -53,9 +53,9 @@
         now: Instant,
     ) -> bool {
         let history = self.services.entry(service.clone()).or_default();
-        history.forget(terms.window, now);
+        history.expire(terms.window, now);
         let earned = history.requests.len() as f64 * terms.ratio;
-        let allowed = (earned + terms.surplus / processes.max(1) as f64) * USED_SHARE;
+        let allowed = (earned + terms.surplus / processes.max(1) as f64) * USED_FRACTION;
         if history.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
@@ -64,8 +64,8 @@
     }
 }
 
-impl History {
-    fn forget(&mut self, window: Duration, now: Instant) {
+impl ServiceHistory {
+    fn expire(&mut self, window: Duration, now: Instant) {
         for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|t| now.saturating_duration_since(*t) > window) {
                 times.pop_front();
--- a/src/gateway/decide/speed.rs
+++ b/src/gateway/decide/speed.rs
@@ -1,191 +1,192 @@
-//! How fast the upstreams of a service are, learnt from requests.
+//! Speed of a service's upstreams, learnt from requests.
 //!
-//! The time to the first token is taken to be a fixed part, a part for each
-//! prompt token that has to be read first, and a part for each request that
-//! runs beside it. The three are fitted to the requests of late, so that no
-//! deployment's engines stand in the code: engines that are faster than is taken for
-//! granted would have others ordered beside them for nothing.
+//! The time to the first token is modelled as the sum of a constant, a term for each prompt
+//! token that must be read first, and a term for each request running at the same time. The
+//! three coefficients are fitted to recent requests, so that no deployment's engine speed is
+//! hard-coded: if engines are faster than assumed, more of them would be ordered than the load
+//! requires.
 
 use std::time::Duration;
 
-/// Tokens a second that are assumed before anything is known: the middle, on a
-/// logarithmic scale, of what engines of all sizes reach.
-const START_TOKENS_PER_SECOND: f64 = 50_000.0;
-/// Fixed part that is assumed before anything is known: a few steps of an engine
-/// and the way there.
-const START_BASE: f64 = 0.03;
-/// Part for each request beside it that is assumed before anything is known.
-const START_PER_RUNNING: f64 = 0.001;
-/// Time for which a request holds a slot, before anything is known.
-const START_HELD: f64 = 1.0;
-/// Requests' worth of weight that the start values have.
-const START_WEIGHT: f64 = 2.0;
-/// What remains of the weight of earlier requests after one more: some hundred
-/// of them count, some seconds' worth of one gateway.
-const MEMORY: f64 = 0.99;
-/// Weight of a new observation of the usual error.
-const SMOOTHING: f64 = 0.05;
-/// Errors beyond this multiple of the usual one count less: a cache that was
-/// believed warm, an engine that fails, a lost packet.
+/// Default reading speed: the middle, on a logarithmic scale, of the speeds that engines of all
+/// sizes reach.
+const DEFAULT_TOKENS_PER_SECOND: f64 = 50_000.0;
+/// Default constant term, in seconds: a few steps of an engine, and the network.
+const DEFAULT_BASE: f64 = 0.03;
+/// Default term for each concurrent request, in seconds.
+const DEFAULT_PER_RUNNING: f64 = 0.001;
+/// Default time for which a request holds a slot, in seconds.
+const DEFAULT_HELD: f64 = 1.0;
+/// Weight of the default values, in requests.
+const DEFAULT_WEIGHT: f64 = 2.0;
+/// Factor by which the weight of earlier requests decays with each request. The fit rests on
+/// about the last hundred requests, a few seconds of one gateway.
+const DECAY_FACTOR: f64 = 0.99;
+/// Smoothing factor of the typical error.
+const ERROR_SMOOTHING: f64 = 0.05;
+/// Errors larger than this multiple of the typical error get less weight: they come from a
+/// cache wrongly taken to be warm, a failing engine or a lost packet.
 const ROBUST_MULTIPLE: f64 = 1.5;
-/// Usual error that is assumed before anything is known, in seconds.
-const START_ERROR: f64 = 0.1;
-/// Smallest usual error, in seconds: timers are no finer.
-const LEAST_ERROR: f64 = 0.002;
-/// Units in which tokens and running requests are fitted, so that all three
-/// parts are of similar size.
+/// Default of the typical error, in seconds.
+const DEFAULT_ERROR: f64 = 0.1;
+/// Lower limit of the typical error, in seconds: timers are no more precise.
+const MIN_ERROR: f64 = 0.002;
+/// Units in which the inputs are fitted (constant, tokens, concurrent requests), so that the
+/// three coefficients are of similar size.
 const UNITS: [f64; 3] = [1.0, 1_000.0, 10.0];
-/// Rounds of the fit after each request; it starts where the last one ended.
-const ROUNDS: usize = 4;
-/// Requests from which a model is better than what another process tells.
-const EXPERIENCED: f64 = 30.0;
+/// Iterations of the fit after each request; each starts from the previous result.
+const FIT_ITERATIONS: usize = 4;
+/// Number of requests after which a model is preferred to that of another process.
+const SUFFICIENT_REQUESTS: f64 = 30.0;
 
-/// How fast the upstreams of a service are.
+/// Speed of a service's upstreams.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineSpeed {
-    /// Fixed part of the time to the first token, in seconds.
+    /// Constant term of the time to the first token, in seconds.
     pub base: f64,
-    /// Seconds to read one prompt token.
+    /// Time to read one prompt token, in seconds.
     pub per_token: f64,
-    /// Seconds that each request that runs beside it adds.
+    /// Time that each request running at the same time adds, in seconds.
     pub per_running: f64,
-    /// Seconds for which a request holds a slot, on average; the fit does not
-    /// tell it, see [`super::LoadMeter`].
+    /// Average time for which a request holds a slot, in seconds. It is not part of the fit;
+    /// see [`super::LoadMeter`].
     pub held: f64,
 }
 
 impl Default for EngineSpeed {
     fn default() -> Self {
         Self {
-            base: START_BASE,
-            per_token: 1.0 / START_TOKENS_PER_SECOND,
-            per_running: START_PER_RUNNING,
-            held: START_HELD,
+            base: DEFAULT_BASE,
+            per_token: 1.0 / DEFAULT_TOKENS_PER_SECOND,
+            per_running: DEFAULT_PER_RUNNING,
+            held: DEFAULT_HELD,
         }
     }
 }
 
 impl EngineSpeed {
-    /// Returns the prompt tokens read in a second; `None` if reading takes no time,
-    /// as where no request has a prompt.
+    /// Returns the prompt tokens read per second; `None` if reading takes no time, for instance
+    /// because no request has a prompt.
     pub fn tokens_per_second(&self) -> Option<f64> {
         (self.per_token > 0.0).then(|| 1.0 / self.per_token)
     }
 
-    /// Returns the seconds to the first token at an upstream that runs `running`
+    /// Returns the time to the first token, in seconds, at an upstream that runs `running`
     /// requests and has `tokens` prompt tokens to read first.
     pub fn first_token(&self, tokens: f64, running: f64) -> f64 {
         self.base + self.per_token * tokens.max(0.0) + self.per_running * running.max(0.0)
     }
 }
 
-/// One request that found a free slot, and the time that its first token took.
+/// Time to the first token of one request that found a free slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FirstToken {
-    /// Prompt tokens that the upstream had to read before, its own included.
+    /// Prompt tokens that the upstream had to read first, including the request's own.
     pub tokens: f64,
-    /// Requests that ran beside it when it was sent.
+    /// Requests that were running when the request was sent.
     pub running: f64,
-    /// Time from sending it to its first token.
+    /// Time from sending the request to its first token.
     pub took: Duration,
 }
 
-/// Fit of the speed to the requests of late: weighted least squares with parts
-/// that cannot be negative.
+/// Robust fit of the speed to recent requests: weighted least squares with coefficients that
+/// cannot be negative.
 #[derive(Clone, Debug)]
 pub struct SpeedModel {
-    /// Fitted parts, in [`UNITS`].
-    parts: [f64; 3],
-    /// Weighted sums of products of the inputs.
+    /// Fitted coefficients, in [`UNITS`].
+    coefficients: [f64; 3],
+    /// Weighted sums of the products of the inputs.
     products: [[f64; 3]; 3],
-    /// Weighted sums of products of inputs and time.
+    /// Weighted sums of the products of inputs and time.
     targets: [f64; 3],
-    error: f64,
+    typical_error: f64,
     requests: f64,
 }
 
 impl Default for SpeedModel {
     fn default() -> Self {
         let mut model = Self {
-            parts: [0.0; 3],
+            coefficients: [0.0; 3],
             products: [[0.0; 3]; 3],
             targets: [0.0; 3],
-            error: START_ERROR,
+            typical_error: DEFAULT_ERROR,
             requests: 0.0,
         };
-        model.begin_at(EngineSpeed::default(), START_WEIGHT);
+        model.reset_to(EngineSpeed::default(), DEFAULT_WEIGHT);
         model
     }
 }
 
 impl SpeedModel {
-    /// Returns the speed as fitted.
+    /// Returns the fitted speed.
     pub fn speed(&self) -> EngineSpeed {
-        let [base, per_token, per_running] = self.parts;
+        let [base, per_token, per_running] = self.coefficients;
         EngineSpeed {
             base,
             per_token: per_token / UNITS[1],
             per_running: per_running / UNITS[2],
-            held: START_HELD,
+            held: DEFAULT_HELD,
         }
     }
 
-    /// Returns how many requests it rests on; older ones count less.
+    /// Returns the number of requests that the fit rests on, weighted by age.
     pub fn requests(&self) -> f64 {
         self.requests
     }
 
-    /// Learns from a request's first token.
-    pub fn note_first_token(&mut self, seen: FirstToken) {
-        let inputs = [1.0, seen.tokens.max(0.0) / UNITS[1], seen.running.max(0.0) / UNITS[2]];
-        let took = seen.took.as_secs_f64();
-        let expected: f64 = inputs.iter().zip(&self.parts).map(|(x, part)| x * part).sum();
-        let error = (took - expected).abs();
-        let usual = ROBUST_MULTIPLE * self.error.max(LEAST_ERROR);
-        let weight = (usual / error.max(f64::MIN_POSITIVE)).min(1.0);
-        self.error += SMOOTHING * (error.min(2.0 * usual) - self.error);
+    /// Updates the fit with a request's time to the first token.
+    pub fn note_first_token(&mut self, sample: FirstToken) {
+        let inputs = [1.0, sample.tokens.max(0.0) / UNITS[1], sample.running.max(0.0) / UNITS[2]];
+        let took = sample.took.as_secs_f64();
+        let expected: f64 =
+            inputs.iter().zip(&self.coefficients).map(|(x, coefficient)| x * coefficient).sum();
+        let residual = (took - expected).abs();
+        let error_limit = ROBUST_MULTIPLE * self.typical_error.max(MIN_ERROR);
+        let weight = (error_limit / residual.max(f64::MIN_POSITIVE)).min(1.0);
+        self.typical_error +=
+            ERROR_SMOOTHING * (residual.min(2.0 * error_limit) - self.typical_error);
         self.add(inputs, took, weight);
-        self.requests = self.requests * MEMORY + 1.0;
-        (0..ROUNDS).for_each(|_| self.fit());
+        self.requests = self.requests * DECAY_FACTOR + 1.0;
+        (0..FIT_ITERATIONS).for_each(|_| self.fit());
     }
 
-    /// Begins with what another process has learnt, if that rests on more
-    /// requests than this process has seen. Returns whether it does.
+    /// Adopts the model of another process if it rests on more requests than this one and this
+    /// one rests on few. Returns whether it was adopted.
     pub fn adopt(&mut self, speed: EngineSpeed, requests: f64) -> bool {
-        let better = self.requests < EXPERIENCED && requests > self.requests;
-        if better {
-            self.requests = requests.min(EXPERIENCED);
-            self.begin_at(speed, self.requests);
+        let adopted = self.requests < SUFFICIENT_REQUESTS && requests > self.requests;
+        if adopted {
+            self.requests = requests.min(SUFFICIENT_REQUESTS);
+            self.reset_to(speed, self.requests);
         }
-        better
+        adopted
     }
 
-    fn begin_at(&mut self, speed: EngineSpeed, weight: f64) {
-        self.parts = [speed.base, speed.per_token * UNITS[1], speed.per_running * UNITS[2]];
+    fn reset_to(&mut self, speed: EngineSpeed, weight: f64) {
+        self.coefficients = [speed.base, speed.per_token * UNITS[1], speed.per_running * UNITS[2]];
         for (i, row) in self.products.iter_mut().enumerate() {
             *row = [0.0; 3];
             row[i] = weight;
-            self.targets[i] = weight * self.parts[i];
+            self.targets[i] = weight * self.coefficients[i];
         }
     }
 
     fn add(&mut self, inputs: [f64; 3], took: f64, weight: f64) {
         for (i, row) in self.products.iter_mut().enumerate() {
             for (j, sum) in row.iter_mut().enumerate() {
-                *sum = *sum * MEMORY + weight * inputs[i] * inputs[j];
+                *sum = *sum * DECAY_FACTOR + weight * inputs[i] * inputs[j];
             }
-            self.targets[i] = self.targets[i] * MEMORY + weight * inputs[i] * took;
+            self.targets[i] = self.targets[i] * DECAY_FACTOR + weight * inputs[i] * took;
         }
     }
 
-    /// Moves each part to where it fits best beside the others.
+    /// Optimises each coefficient in turn while the others stay fixed (coordinate descent).
     fn fit(&mut self) {
-        for i in 0..self.parts.len() {
+        for i in 0..self.coefficients.len() {
             let row = &self.products[i];
             let others: f64 =
-                (0..row.len()).filter(|j| *j != i).map(|j| row[j] * self.parts[j]).sum();
+                (0..row.len()).filter(|j| *j != i).map(|j| row[j] * self.coefficients[j]).sum();
             if row[i] > f64::EPSILON {
-                self.parts[i] = ((self.targets[i] - others) / row[i]).max(0.0);
+                self.coefficients[i] = ((self.targets[i] - others) / row[i]).max(0.0);
             }
         }
     }
