--- a/src/gateway/decide/engine.rs
+++ b/src/gateway/decide/engine.rs
@@ -30,8 +30,8 @@
     pub slots: u32,
     /// Prompt tokens of this request that the upstream is not expected to have cached.
     pub missing_tokens: f64,
-    /// Recent failures of the upstream, weighted; a cost in units of the time that a request
-    /// holds a slot.
+    /// Weighted recent failures of the upstream, seen here or by all gateways; each costs as much
+    /// as the time for which a request holds its slot.
     pub failures: f64,
     /// Whether the upstream is in another data centre.
     pub remote: bool,
--- a/src/gateway/decide/mod.rs
+++ b/src/gateway/decide/mod.rs
@@ -2,20 +2,19 @@
 //! randomness of their own.
 
 mod backoff;
-mod breaker;
 mod cache;
 mod capacity;
 mod clock;
 mod crashes;
+mod durable_state;
 mod engine;
-mod kept;
 mod knowledge;
 mod leaving;
 mod mechanism;
 mod need;
+mod order_pacer;
 mod orders;
 mod outcomes;
-mod pace;
 mod peak;
 mod quota;
 mod rate_limit;
@@ -27,13 +26,13 @@
 mod rollout;
 mod speed;
 mod spread;
-mod steady;
+mod store_stability;
 mod telling;
+mod upstream_health;
 mod usage;
 mod window_sum;
 
 pub use backoff::Backoff;
-pub use breaker::{Breaker, Verdict};
 pub use cache::CacheBelief;
 pub use capacity::{CapacityInput, CapacityPolicy, Fleet, Wish, needed_at_start, plan_engines};
 pub use clock::TrueClock;
@@ -41,15 +40,15 @@
     Break, Breaks, Change, CopyReport, CrashBook, CrashNews, CrashVerdict, Permission,
     SuspectReport, TrialTurn, VerdictReport,
 };
+pub use durable_state::{CapacityRecord, Kept};
 pub use engine::{Candidate, choose_engine, least_to_lose, predicted_wait};
-pub use kept::{CapacityRecord, Kept};
 pub use knowledge::{Knowledge, OLD, StoreClock, StoreMillis};
 pub use leaving::{LeavingBook, LeavingReport};
 pub use mechanism::{Mechanism, SwitchedOff};
 pub use need::{Busy, LoadMeter, RequestCost, ServiceLoad, busy, engines_needed, mean_cost};
+pub use order_pacer::{OrderPacer, OrderState, PaceInput};
 pub use orders::{OrderBook, OrderKey, OrderReport};
 pub use outcomes::{OutcomeMeter, Outcomes};
-pub use pace::{OrderPacer, OrderState, PaceInput};
 pub use peak::{Need, NeedMeter, NeedPeak};
 pub use quota::{PeerTotal, QuotaBook, QuotaShare, QuotaTerms, QuotaUsedUp};
 pub use rate_limit::{
@@ -69,6 +68,7 @@
 pub use spread::{
     DIRECT, FAR_BYTES, NEAR_BYTES, PASSED_ON_WITHIN, Receivers, dealt, far_shares, receivers, turns,
 };
-pub use steady::Steadiness;
+pub use store_stability::Steadiness;
+pub use upstream_health::{Breaker, Verdict};
 pub use usage::{Counts, UsageBook, Window};
 pub use window_sum::WindowSum;
