--- a/tests/capacity/fleets.rs
+++ b/tests/capacity/fleets.rs
@@ -1,4 +1,4 @@
-//! Fleets, prices and bounds that the tests of engines share.
+//! Fleets, prices and bounds shared by the tests of capacity planning and orders.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -28,7 +28,7 @@
 pub const POLICY: CapacityPolicy =
     CapacityPolicy { losses: 1, reclaimable_spare: 1.0, needed_floor: 4.0, start_share: 0.15 };
 
-/// A steady need.
+/// Requirement that is the same for both kinds of engine.
 pub fn need(engines: f64) -> Need {
     Need { engines, reclaimable: engines }
 }
--- a/tests/gateway_capacity.rs
+++ b/tests/gateway_capacity.rs
@@ -1,4 +1,4 @@
-//! Number of engines: what is wished for.
+//! Capacity planning: how many engines to have of each kind in each data centre.
 
 #[path = "capacity/fleets.rs"]
 mod fleets;
@@ -10,7 +10,7 @@
 use tackhollow::gateway::decide::{CapacityInput, CapacityPolicy, Need, NeedMeter, plan_engines};
 
 #[test]
-fn engines_on_demand_cover_what_reclaimable_ones_cannot() {
+fn on_demand_engines_cover_the_shortfall_of_reclaimable_engines() {
     struct Case {
         name: &'static str,
         needed: f64,
@@ -20,29 +20,35 @@
     }
     let cases = [
         Case {
-            name: "enough are reclaimable",
+            name: "enough reclaimable engines",
             needed: 5.0,
             reclaimable: [3; 4],
             losses: 1,
             on_demand: 0,
         },
-        Case { name: "none are", needed: 5.0, reclaimable: [0; 4], losses: 1, on_demand: 5 },
         Case {
-            name: "one more loss leaves too few",
+            name: "no reclaimable engines",
+            needed: 5.0,
+            reclaimable: [0; 4],
+            losses: 1,
+            on_demand: 5,
+        },
+        Case {
+            name: "too few after one more loss",
             needed: 5.0,
             reclaimable: [3, 0, 0, 3],
             losses: 1,
             on_demand: 2,
         },
         Case {
-            name: "only one data centre is left",
+            name: "reclaimable engines in one data centre only",
             needed: 5.0,
             reclaimable: [0, 0, 0, 9],
             losses: 1,
             on_demand: 5,
         },
         Case {
-            name: "two more losses leave too few",
+            name: "too few after two more losses",
             needed: 5.0,
             reclaimable: [3, 4, 0, 3],
             losses: 2,
@@ -60,32 +66,47 @@
             losses: case.losses,
             before_load: false,
         };
-        let wishes = plan_engines(&input, &POLICY);
-        let on_demand: u32 = wishes.values().map(|w| w.on_demand).sum();
+        let plan = plan_engines(&input, &POLICY);
+        let on_demand: u32 = plan.values().map(|w| w.on_demand).sum();
         assert_eq!(on_demand, case.on_demand, "{}", case.name);
     }
 }
 
 #[test]
-fn reclaimable_engines_carry_the_load_when_one_data_centre_is_gone() {
+fn reclaimable_engines_carry_the_load_after_losses() {
     struct Case {
         name: &'static str,
         losses: usize,
         spare: f64,
-        each: u32,
+        reclaimable_each: u32,
     }
     let cases = [
-        Case { name: "no loss is covered", losses: 0, spare: 1.0, each: 3 },
-        Case { name: "one is: three carry it", losses: 1, spare: 1.0, each: 4 },
-        Case { name: "two are", losses: 2, spare: 1.0, each: 6 },
-        Case { name: "and some are spare", losses: 1, spare: 1.5, each: 6 },
-        Case { name: "the bound holds", losses: 1, spare: 4.0, each: 10 },
+        Case { name: "no loss is covered", losses: 0, spare: 1.0, reclaimable_each: 3 },
+        Case {
+            name: "one loss is covered by three data centres",
+            losses: 1,
+            spare: 1.0,
+            reclaimable_each: 4,
+        },
+        Case { name: "two losses are covered", losses: 2, spare: 1.0, reclaimable_each: 6 },
+        Case {
+            name: "one loss is covered, with spare engines",
+            losses: 1,
+            spare: 1.5,
+            reclaimable_each: 6,
+        },
+        Case {
+            name: "limited by the operator's bound",
+            losses: 1,
+            spare: 4.0,
+            reclaimable_each: 10,
+        },
     ];
     let scaling = scaling(10);
     for case in cases {
         let policy = CapacityPolicy { reclaimable_spare: case.spare, ..POLICY };
         let mut fleets = fleets([0; 4]);
-        fleets.values_mut().for_each(|f| f.more_expected = true);
+        fleets.values_mut().for_each(|f| f.reclaimable_expected = true);
         let input = CapacityInput {
             need: need(12.0),
             scaling: &scaling,
@@ -93,55 +114,55 @@
             losses: case.losses,
             before_load: true,
         };
-        for wish in plan_engines(&input, &policy).values() {
-            assert_eq!(wish.reclaimable, case.each, "{}", case.name);
+        for engines in plan_engines(&input, &policy).values() {
+            assert_eq!(engines.reclaimable, case.reclaimable_each, "{}", case.name);
         }
     }
 }
 
 #[test]
-fn no_engines_on_demand_are_ordered_where_reclaimable_ones_start_as_soon() {
+fn on_demand_engines_are_not_ordered_while_reclaimable_engines_are_expected() {
     struct Case {
         name: &'static str,
-        more_expected: bool,
+        reclaimable_expected: bool,
         on_demand: u32,
         on_demand_starting: u32,
-        wished: u32,
+        desired: u32,
     }
     let cases = [
         Case {
-            name: "reclaimable ones are expected",
-            more_expected: true,
+            name: "reclaimable engines are expected",
+            reclaimable_expected: true,
             on_demand: 0,
             on_demand_starting: 0,
-            wished: 0,
+            desired: 0,
         },
         Case {
-            name: "those that serve stay until then",
-            more_expected: true,
+            name: "serving engines on demand are kept until reclaimable engines serve",
+            reclaimable_expected: true,
             on_demand: 4,
             on_demand_starting: 0,
-            wished: 4,
+            desired: 4,
         },
         Case {
-            name: "those that start stay, as far as they are needed",
-            more_expected: true,
+            name: "starting engines on demand are kept as far as required",
+            reclaimable_expected: true,
             on_demand: 4,
             on_demand_starting: 3,
-            wished: 5,
+            desired: 5,
         },
         Case {
-            name: "no reclaimable ones are to be had",
-            more_expected: false,
+            name: "no reclaimable engines are expected",
+            reclaimable_expected: false,
             on_demand: 0,
             on_demand_starting: 0,
-            wished: 5,
+            desired: 5,
         },
     ];
     let scaling = scaling(10);
     for case in cases {
         let mut fleets = fleets([0; 4]);
-        fleets.values_mut().for_each(|f| f.more_expected = case.more_expected);
+        fleets.values_mut().for_each(|f| f.reclaimable_expected = case.reclaimable_expected);
         let dearest = fleets.get_mut("c").expect("a data centre");
         dearest.on_demand = case.on_demand;
         dearest.on_demand_starting = case.on_demand_starting;
@@ -152,16 +173,16 @@
             losses: 1,
             before_load: false,
         };
-        let wishes = plan_engines(&input, &POLICY);
-        let wished: u32 = wishes.values().map(|w| w.on_demand).sum();
-        assert_eq!(wished, case.wished, "{}", case.name);
-        let kept = case.wished.min(case.on_demand + case.on_demand_starting);
-        assert_eq!(wishes["c"].on_demand, kept, "{}: those that are there stay", case.name);
+        let plan = plan_engines(&input, &POLICY);
+        let desired: u32 = plan.values().map(|w| w.on_demand).sum();
+        assert_eq!(desired, case.desired, "{}", case.name);
+        let kept = case.desired.min(case.on_demand + case.on_demand_starting);
+        assert_eq!(plan["c"].on_demand, kept, "{}: existing engines are kept", case.name);
     }
 }
 
 #[test]
-fn the_engine_that_the_least_number_requires_is_not_given_up_again_and_again() {
+fn an_engine_required_by_the_operator_s_minimum_is_not_given_up() {
     let scaling = scaling(10);
     let mut fleets = fleets([4, 4, 4, 0]);
     fleets.get_mut("d").expect("a data centre").on_demand = 1;
@@ -175,10 +196,11 @@
     assert_eq!(plan_engines(&input, &POLICY)["d"].on_demand, 1);
 }
 
-/// With the largest need of four seconds for both kinds, 45 reclaimable engines became
-/// 16 within ten seconds of a calm on one fleet, and the wave after it found too few.
+/// Reclaimable engines are kept over a longer peak than the total. When both kinds used a peak
+/// of four seconds, a fleet went from 45 reclaimable engines to 16 within ten seconds of low
+/// load, and had too few for the next peak.
 #[test]
-fn reclaimable_engines_are_kept_for_longer_than_others() {
+fn reclaimable_engines_are_kept_longer_than_engines_on_demand() {
     let start = Instant::now();
     let mut meter = NeedMeter::new(ms(4_000));
     let needs = [12.0, 8.0, 6.0, 6.0, 6.0].iter().zip([0, 3_000, 6_000, 15_000, 22_000]);
@@ -190,23 +212,23 @@
 }
 
 proptest! {
-    /// The operator's bounds hold in each data centre, for both kinds together.
+    /// The operator's bounds hold in each data centre for the sum of both kinds.
     #[test]
-    fn wishes_keep_the_bounds(
+    fn the_plan_respects_the_operator_s_bounds(
         needed in 0.0..200.0f64, reclaimable in prop::array::uniform4(0u32..12), max in 1u32..12,
     ) {
         let scaling = scaling(max);
         let fleets = fleets(reclaimable);
         let input = CapacityInput { need: need(needed), scaling: &scaling, fleets: &fleets, losses: 1, before_load: false };
-        for (name, wish) in plan_engines(&input, &POLICY) {
-            let both = wish.reclaimable + wish.on_demand;
+        for (name, engines) in plan_engines(&input, &POLICY) {
+            let both = engines.reclaimable + engines.on_demand;
             let serving = fleets[&name].reclaimable.min(max);
             prop_assert!(
-                wish.on_demand <= max - serving,
-                "{name}: {wish:?} takes the room of {serving} that serve"
+                engines.on_demand <= max - serving,
+                "{name}: {engines:?} takes the place of {serving} serving reclaimable engines"
             );
-            prop_assert!(both <= max, "{name}: {wish:?} of {max}");
-            prop_assert!(both >= scaling.min.min(max), "{name}: {wish:?}");
+            prop_assert!(both <= max, "{name}: {engines:?} of {max}");
+            prop_assert!(both >= scaling.min.min(max), "{name}: {engines:?}");
         }
     }
 }
--- a/tests/gateway_choice.rs
+++ b/tests/gateway_choice.rs
@@ -1,4 +1,4 @@
-//! Choice of an upstream: predicted wait, health, caches, and who is left.
+//! Selection of an upstream: predicted wait, health, caches, and draining upstreams.
 
 use std::time::{Duration, Instant};
 
@@ -29,17 +29,21 @@
     chance: 0.0,
 };
 
-/// A failure weighs as much as a request of the service takes, and no fixed time.
+/// A failure costs as much as the slot time of a request of the service, and not a fixed time.
 #[test]
-fn a_failure_counts_as_long_as_a_slot_is_held() {
+fn a_failure_costs_the_slot_time_of_a_request() {
     struct Case {
         name: &'static str,
         held: f64,
         best: usize,
     }
     let cases = [
-        Case { name: "a plain service: sooner tried again than waited for", held: 0.06, best: 0 },
-        Case { name: "long generations: passed over", held: 1.9, best: 1 },
+        Case {
+            name: "short requests: the failing upstream is preferred to the busy one",
+            held: 0.06,
+            best: 0,
+        },
+        Case { name: "long requests: the failing upstream is passed over", held: 1.9, best: 1 },
     ];
     let failing = Candidate { failures: 0.5, ..IDLE };
     let busy = Candidate { running: 50.0, ..IDLE };
@@ -50,31 +54,31 @@
 }
 
 #[test]
-fn the_upstream_with_the_shortest_predicted_wait_is_chosen() {
+fn the_upstream_with_the_lowest_cost_is_chosen() {
     struct Case {
         name: &'static str,
         candidates: Vec<Candidate>,
         best: Option<usize>,
     }
     let cases = [
-        Case { name: "none", candidates: vec![], best: None },
+        Case { name: "no candidates", candidates: vec![], best: None },
         Case {
-            name: "of equals the one to which a connection is kept",
+            name: "an idle connection decides between equal upstreams",
             candidates: vec![IDLE, Candidate { connected: true, chance: 1.0, ..IDLE }],
             best: Some(1),
         },
         Case {
-            name: "a connection is not worth a longer wait",
+            name: "an idle connection does not outweigh a longer wait",
             candidates: vec![IDLE, Candidate { connected: true, running: 10.0, ..IDLE }],
             best: Some(0),
         },
         Case {
-            name: "a cached prefix",
+            name: "cached prefix",
             candidates: vec![Candidate { missing_tokens: 17_000.0, ..IDLE }, IDLE],
             best: Some(1),
         },
         Case {
-            name: "a cached prefix behind a long queue",
+            name: "cached prefix behind a long queue",
             candidates: vec![
                 Candidate { missing_tokens: 17_000.0, ..IDLE },
                 Candidate { pending_tokens: 90_000.0, ..IDLE },
@@ -82,7 +86,7 @@
             best: Some(0),
         },
         Case {
-            name: "a cached prefix behind a shorter queue: reading it again holds up others",
+            name: "cached prefix behind a shorter queue: reading it elsewhere would delay other requests",
             candidates: vec![
                 Candidate { missing_tokens: 6_000.0, ..IDLE },
                 Candidate { pending_tokens: 17_000.0, ..IDLE },
@@ -98,7 +102,7 @@
             best: Some(1),
         },
         Case {
-            name: "all failing, one must do",
+            name: "all upstreams failing",
             candidates: vec![
                 Candidate { failures: 3.0, ..IDLE },
                 Candidate { failures: 2.0, ..IDLE },
@@ -106,7 +110,7 @@
             best: Some(1),
         },
         Case {
-            name: "slots taken",
+            name: "all slots taken",
             candidates: vec![
                 Candidate { running: 70.0, ..IDLE },
                 Candidate { running: 40.0, ..IDLE },
@@ -114,7 +118,7 @@
             best: Some(1),
         },
         Case {
-            name: "a slow one: what it was sent is still there",
+            name: "slow upstream with unread tokens",
             candidates: vec![
                 Candidate { running: 6.0, pending_tokens: 8_000.0, ..IDLE },
                 Candidate { running: 9.0, ..IDLE },
@@ -122,7 +126,7 @@
             best: Some(1),
         },
         Case {
-            name: "the own data centre",
+            name: "same data centre",
             candidates: vec![Candidate { remote: true, ..IDLE }, IDLE],
             best: Some(1),
         },
@@ -133,7 +137,7 @@
 }
 
 proptest! {
-    /// More load never makes the predicted wait shorter.
+    /// More load never shortens the predicted wait.
     #[test]
     fn the_predicted_wait_grows_with_load(
         running in 0.0..200.0f64, pending in 0.0..200_000.0f64, more in 0.0..50.0f64,
@@ -147,52 +151,60 @@
 }
 
 #[test]
-fn failures_age_and_successes_outweigh_them() {
+fn failures_decay_with_time_and_with_successes() {
     let now = Instant::now();
     let mut breaker = Breaker::new(now);
     (0..50).for_each(|_| breaker.record(Verdict::Failed, now));
     let many = breaker.recent_failures(now);
-    assert!(many <= 8.0, "failures are bounded, so that recovery is seen: {many}");
+    assert!(
+        many <= 8.0,
+        "the failure count is bounded, so that a recovered upstream is tried again: {many}"
+    );
     assert!(breaker.recent_failures(now + ms(8_000)) < many / 10.0);
     (0..12).for_each(|_| breaker.record(Verdict::Good, now));
     assert!(breaker.recent_failures(now) < 0.5);
 }
 
 #[test]
-fn an_upstream_that_cannot_be_reached_is_avoided_for_a_while() {
+fn an_unreachable_upstream_is_avoided_temporarily() {
     struct Case {
         name: &'static str,
-        /// When it was tried and how that ended.
-        tries: Vec<(u64, Verdict)>,
+        /// Times of the attempts and their outcomes.
+        attempts: Vec<(u64, Verdict)>,
         at: u64,
         avoided: bool,
     }
     let unreachable = Verdict::Unreachable;
     let cases = [
-        Case { name: "not tried", tries: vec![], at: 0, avoided: false },
+        Case { name: "not tried", attempts: vec![], at: 0, avoided: false },
         Case {
-            name: "its answers failed",
-            tries: vec![(0, Verdict::Failed)],
+            name: "attempt failed",
+            attempts: vec![(0, Verdict::Failed)],
             at: 1,
             avoided: false,
         },
-        Case { name: "out of reach", tries: vec![(0, unreachable)], at: 400, avoided: true },
-        Case { name: "time to try again", tries: vec![(0, unreachable)], at: 600, avoided: false },
+        Case { name: "unreachable", attempts: vec![(0, unreachable)], at: 400, avoided: true },
+        Case {
+            name: "avoidance period over",
+            attempts: vec![(0, unreachable)],
+            at: 600,
+            avoided: false,
+        },
         Case {
-            name: "many tries at once count once",
-            tries: vec![(0, unreachable), (1, unreachable), (2, unreachable)],
+            name: "concurrent attempts count once",
+            attempts: vec![(0, unreachable), (1, unreachable), (2, unreachable)],
             at: 600,
             avoided: false,
         },
         Case {
-            name: "out of reach again, for longer",
-            tries: vec![(0, unreachable), (600, unreachable)],
+            name: "unreachable again, avoided for longer",
+            attempts: vec![(0, unreachable), (600, unreachable)],
             at: 1_400,
             avoided: true,
         },
         Case {
-            name: "reached since",
-            tries: vec![(0, unreachable), (100, Verdict::Good)],
+            name: "reached in the meantime",
+            attempts: vec![(0, unreachable), (100, Verdict::Good)],
             at: 101,
             avoided: false,
         },
@@ -200,13 +212,13 @@
     for case in cases {
         let now = Instant::now();
         let mut breaker = Breaker::new(now);
-        case.tries.iter().for_each(|(at, verdict)| breaker.record(*verdict, now + ms(*at)));
+        case.attempts.iter().for_each(|(at, verdict)| breaker.record(*verdict, now + ms(*at)));
         assert_eq!(breaker.is_avoided(now + ms(case.at)), case.avoided, "{}", case.name);
     }
 }
 
 #[test]
-fn the_least_recently_used_prefix_yields() {
+fn the_least_recently_used_prefix_is_evicted() {
     let now = Instant::now();
     let mut cache = CacheBelief::default();
     let engine = Lifetime::new("engine-1", Some(1));
@@ -215,13 +227,13 @@
     }
     assert_eq!([1, 2, 3].map(|p| cache.holds(engine, p)), [true, false, true]);
     assert!(!cache.holds(Lifetime::new("engine-2", Some(1)), 1));
-    assert!(!cache.holds(Lifetime::new("engine-1", Some(2)), 1), "it has started again");
+    assert!(!cache.holds(Lifetime::new("engine-1", Some(2)), 1), "the engine has restarted");
     cache.retain(|_| false);
     assert!(!cache.holds(engine, 1));
 }
 
 #[test]
-fn who_begins_to_leave_is_a_last_resort_for_a_while() {
+fn a_draining_upstream_is_a_last_resort_temporarily() {
     let now = Instant::now();
     let upstream = |phase| Upstream {
         id: "i-1".to_owned(),
@@ -240,9 +252,9 @@
     let changed = view.update(upstream(UpstreamPhase::Draining), now + ms(100), now + ms(100));
     assert_eq!(changed, Described::PhaseChanged);
     let again = view.update(upstream(UpstreamPhase::Draining), now + ms(900), now + ms(900));
-    assert_eq!(again, Described::Same, "told once more");
+    assert_eq!(again, Described::Same, "the same phase reported again");
     assert!(!view.takes_work() && view.is_last_resort(now + ms(1_000)));
-    assert!(!view.is_last_resort(now + ms(1_200)), "it may be gone soon");
+    assert!(!view.is_last_resort(now + ms(1_200)), "it may end soon");
     let known_late = UpstreamView::new(upstream(UpstreamPhase::Draining), now);
-    assert!(!known_late.is_last_resort(now), "nobody knows since when it leaves");
+    assert!(!known_late.is_last_resort(now), "the start of draining is unknown");
 }
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -1,5 +1,5 @@
-//! Decisions of the gateway on retries, usage, the list of upstreams, time and
-//! streams: tables of cases and properties.
+//! Decisions of the gateway on retries, usage, the list of upstreams, time and streams: tables
+//! of cases and properties.
 
 use std::{
     collections::BTreeMap,
@@ -27,7 +27,7 @@
 // Retries.
 
 #[test]
-fn second_attempts_stay_within_the_budget() {
+fn retries_stay_within_the_budget() {
     struct Case {
         name: &'static str,
         requests: usize,
@@ -36,7 +36,7 @@
     }
     let cases = [
         Case { name: "no request", requests: 0, processes: 1, most: 58 },
-        Case { name: "a hundred requests", requests: 100, processes: 1, most: 78 },
+        Case { name: "one hundred requests", requests: 100, processes: 1, most: 78 },
         Case { name: "the surplus is shared", requests: 0, processes: 9, most: 6 },
         Case { name: "many processes", requests: 100, processes: 300, most: 20 },
     ];
@@ -44,15 +44,16 @@
     let service = "llm".to_owned();
     for case in cases {
         let now = Instant::now();
-        let mut book = RetryBook::default();
+        let mut budget = RetryBook::default();
         for _ in 0..case.requests {
-            book.request(&service, terms, now);
+            budget.request(&service, terms, now);
         }
-        let taken = (0..1_000).filter(|_| book.take(&service, terms, case.processes, now)).count();
+        let taken =
+            (0..1_000).filter(|_| budget.take(&service, terms, case.processes, now)).count();
         assert!(taken <= case.most, "{}: {taken} taken", case.name);
         let later = now + ms(10_001);
         let again =
-            (0..1_000).filter(|_| book.take(&service, terms, case.processes, later)).count();
+            (0..1_000).filter(|_| budget.take(&service, terms, case.processes, later)).count();
         assert!(again <= case.most, "{}: {again} taken in the next window", case.name);
     }
 }
@@ -60,25 +61,29 @@
 // Usage.
 
 #[test]
-fn usage_sums_processes_and_ignores_older_messages() {
-    let mut book = UsageBook::default();
-    book.count("a", 7, &customer());
-    book.count("a", 7, &customer());
+fn usage_sums_all_processes_and_ignores_outdated_messages() {
+    let mut usage = UsageBook::default();
+    usage.count("a", 7, &customer());
+    usage.count("a", 7, &customer());
     let of_b = |n: u64| BTreeMap::from([(customer(), n)]);
-    book.hear("b", 7, &of_b(5));
-    book.hear("b", 7, &of_b(3));
-    assert_eq!(book.total(7), of_b(7));
-    assert_eq!(book.of_process("a"), vec![(7, of_b(2))]);
-    book.open("a", 9);
-    assert_eq!(book.counted_before(9), vec![7]);
-    book.open("a", 100);
-    assert_eq!(book.total(7), BTreeMap::new(), "old windows are dropped");
-    book.hear("b", 7, &of_b(5));
-    assert_eq!(book.counted_before(100), Vec::<u64>::new(), "and do not come back");
+    usage.hear("b", 7, &of_b(5));
+    usage.hear("b", 7, &of_b(3));
+    assert_eq!(usage.total(7), of_b(7));
+    assert_eq!(usage.of_process("a"), vec![(7, of_b(2))]);
+    usage.open("a", 9);
+    assert_eq!(usage.counted_before(9), vec![7]);
+    usage.open("a", 100);
+    assert_eq!(usage.total(7), BTreeMap::new(), "old windows are dropped");
+    usage.hear("b", 7, &of_b(5));
+    assert_eq!(
+        usage.counted_before(100),
+        Vec::<u64>::new(),
+        "outdated messages do not restore them"
+    );
 }
 
 #[test]
-fn the_holder_of_the_lease_hears_at_most_twice_as_much_as_the_others() {
+fn the_lease_holder_receives_at_most_twice_the_messages_of_other_processes() {
     struct Case {
         processes: usize,
         every: u32,
@@ -89,7 +94,7 @@
         Case { processes: 24, every: 1 },
         Case { processes: 77, every: 4 },
         Case { processes: 91, every: 4 },
-        // Reports must come several times before a window is reported.
+        // Several reports must arrive before a window is reported.
         Case { processes: 1_500, every: 8 },
     ];
     for case in cases {
@@ -98,7 +103,7 @@
 }
 
 #[test]
-fn usage_that_was_kept_and_is_heard_again_counts_once() {
+fn restored_usage_that_is_reported_again_counts_once() {
     let now = Instant::now();
     let mut before = UsageBook::default();
     before.count("holder", 7, &customer());
@@ -115,35 +120,35 @@
     assert_eq!(kept.restore(&mut QuotaBook::new(now), &mut after, now), capacity);
     after.hear("alive", 7, &BTreeMap::from([(customer(), 6)]));
     let seven = BTreeMap::from([(customer(), 7), ("kitchens".to_owned(), 2)]);
-    assert_eq!(after.total(7), seven, "each process counts once, and rises");
+    assert_eq!(after.total(7), seven, "each process counts once, with its largest count");
     assert_eq!(after.total(6), BTreeMap::from([(customer(), 4)]));
 }
 
 proptest! {
-    /// In whatever order and however often counts arrive, the sum is the same.
+    /// The sum does not depend on the order in which counts arrive or on duplicates.
     #[test]
     fn usage_does_not_depend_on_the_order_of_messages(
         messages in prop::collection::vec((0usize..5, 1u64..50), 1..40),
     ) {
-        let mut forth = UsageBook::default();
-        let mut back = UsageBook::default();
-        let tell = |book: &mut UsageBook, (at, n): &(usize, u64)| {
-            book.hear(&format!("p{at}"), 3, &BTreeMap::from([(customer(), *n)]));
+        let mut forward = UsageBook::default();
+        let mut reversed = UsageBook::default();
+        let merge = |usage: &mut UsageBook, (at, n): &(usize, u64)| {
+            usage.hear(&format!("p{at}"), 3, &BTreeMap::from([(customer(), *n)]));
         };
-        messages.iter().for_each(|m| tell(&mut forth, m));
-        messages.iter().rev().chain(&messages).for_each(|m| tell(&mut back, m));
-        prop_assert_eq!(forth.total(3), back.total(3));
+        messages.iter().for_each(|m| merge(&mut forward, m));
+        messages.iter().rev().chain(&messages).for_each(|m| merge(&mut reversed, m));
+        prop_assert_eq!(forward.total(3), reversed.total(3));
     }
 }
 
 // The list of upstreams.
 
 #[test]
-fn a_row_that_disappears_may_be_back_only_if_the_store_was_away() {
+fn a_missing_row_is_excused_only_if_the_store_was_away() {
     struct Case {
         name: &'static str,
         store: StoreState,
-        /// Answers of the store to this process, by the millisecond.
+        /// Times at which the store answered this process, in milliseconds.
         answers: &'static [u64],
         excused: bool,
     }
@@ -153,22 +158,32 @@
     let often: &[u64] = &[7_000, 7_400, 7_800, 8_200, 8_600, 9_000, 9_400, 9_800];
     let cases = [
         Case { name: "the store answers", store: StoreState::Up, answers: &[], excused: false },
-        Case { name: "it is away", store: StoreState::Away(start), answers: &[], excused: true },
-        Case { name: "just back", store: returned(300), answers: &[9_700], excused: true },
         Case {
-            name: "back for a while",
+            name: "the store is away",
+            store: StoreState::Away(start),
+            answers: &[],
+            excused: true,
+        },
+        Case {
+            name: "the store has just returned",
+            store: returned(300),
+            answers: &[9_700],
+            excused: true,
+        },
+        Case {
+            name: "the store returned some time ago",
             store: returned(2_000),
             answers: &[8_000],
             excused: false,
         },
         Case {
-            name: "away for one call between many answers",
+            name: "one failed call among many answers",
             store: returned(300),
             answers: often,
             excused: false,
         },
         Case {
-            name: "answers with a pause",
+            name: "answers with a gap",
             store: returned(300),
             answers: &[7_000, 7_400, 7_800, 9_700],
             excused: true,
@@ -182,13 +197,14 @@
     }
 }
 
-/// The store was found back by another call a second ago; the list, which is read next, lacks
-/// a row. Rows that lapsed meanwhile counted as gone, since the first 0.7 s were over.
+/// Rows that expire while the store is away must be excused even if the list of upstreams is
+/// read late. When another call finds the store back before the list is read, the missing rows
+/// appear later than the first 0.7 s after the return, and were treated as removed.
 #[test]
-fn a_row_that_lapsed_is_excused_however_late_the_list_is_read() {
+fn an_expired_row_is_excused_however_late_the_list_is_read() {
     struct Case {
         name: &'static str,
-        /// When the list was last known to be the newest, before now.
+        /// How long ago the list was last known to be up to date, in milliseconds.
         seen_ago: u64,
         excused: bool,
     }
@@ -206,24 +222,28 @@
         board.upstreams_knowledge = Some(Knowledge { position: 1, as_of: 60_000 - case.seen_ago });
         let until = board.removal(2, 60_000, now).map(Removal::expected_until);
         assert_eq!(until.is_some(), case.excused, "{}", case.name);
-        assert!(until.is_none_or(|t| t <= 61_000), "{}: from the return", case.name);
+        assert!(
+            until.is_none_or(|t| t <= 61_000),
+            "{}: the grace period starts at the return",
+            case.name
+        );
     }
 }
 
 // Time.
 
 #[test]
-fn a_wrong_clock_takes_the_median_of_the_others() {
+fn a_wrong_clock_is_corrected_to_the_median() {
     struct Case {
         name: &'static str,
         others: &'static [i64],
         correction: i64,
     }
     let cases = [
-        Case { name: "one voice does not count", others: &[5_000], correction: 0 },
-        Case { name: "all agree with us", others: &[3, -4, 10], correction: 0 },
-        Case { name: "we are behind", others: &[2_400, 2_401, 2_399], correction: 2_400 },
-        Case { name: "one of the others is wrong", others: &[-7, 9_000, 4], correction: 0 },
+        Case { name: "one peer is not enough", others: &[5_000], correction: 0 },
+        Case { name: "all peers agree with this process", others: &[3, -4, 10], correction: 0 },
+        Case { name: "this process is behind", others: &[2_400, 2_401, 2_399], correction: 2_400 },
+        Case { name: "one peer is wrong", others: &[-7, 9_000, 4], correction: 0 },
     ];
     for case in cases {
         let now = Instant::now();
@@ -232,18 +252,22 @@
             let time = (1_000_000 + ahead) as u64;
             clock.hear(&format!("p{i}"), time, now);
         }
-        let moved = clock.unix_millis(now) as i64 - 1_000_000;
-        assert!((moved - case.correction).abs() <= 2, "{}: moved by {moved}", case.name);
+        let correction = clock.unix_millis(now) as i64 - 1_000_000;
+        assert!(
+            (correction - case.correction).abs() <= 2,
+            "{}: corrected by {correction}",
+            case.name
+        );
     }
 }
 
 // Streams.
 
 proptest! {
-    /// However a stream is cut into pieces, whole events come out, and the id
-    /// is that of the last whole one.
+    /// Only whole events are passed on, however the stream is split, and the last id is that of
+    /// the last whole event.
     #[test]
-    fn events_come_out_whole(count in 1usize..20, cuts in prop::collection::vec(0usize..400, 0..12)) {
+    fn only_whole_events_are_passed_on(count in 1usize..20, cuts in prop::collection::vec(0usize..400, 0..12)) {
         let text: String = (1..=count).map(|i| format!("id: {i}\ndata: token {i}\n\n")).collect();
         let mut cuts: Vec<usize> = cuts.into_iter().map(|c| c % (text.len() + 1)).collect();
         cuts.extend([0, text.len()]);
--- a/tests/gateway_orders.rs
+++ b/tests/gateway_orders.rs
@@ -1,4 +1,4 @@
-//! Orders of engines: when they are given, tried again and handed on.
+//! Timing of engine orders, retries of orders, and handover to the next holder of the lease.
 
 #[path = "capacity/fleets.rs"]
 mod fleets;
@@ -7,17 +7,17 @@
 
 use fleets::{POLICY, fleets, ms, need, scaling};
 use tackhollow::gateway::decide::{
-    CapacityInput, NeedPeak, OrderBook, OrderKey, OrderPace, OrderReport, OrderState, PaceInput,
+    CapacityInput, NeedPeak, OrderBook, OrderKey, OrderPacer, OrderReport, OrderState, PaceInput,
     plan_engines,
 };
 
 #[test]
-fn an_order_is_tried_again_whatever_became_of_the_last_one() {
+fn an_order_is_repeated_unless_the_last_one_was_accepted() {
     struct Case {
         name: &'static str,
         state: OrderState,
-        wished: u32,
-        /// Ordered at once, and after the pause.
+        desired: u32,
+        /// Orders one second and three seconds after the last order.
         ordered: [Option<u32>; 2],
         refused: bool,
     }
@@ -26,47 +26,47 @@
         Case {
             name: "refused",
             state: Refused,
-            wished: 6,
+            desired: 6,
             ordered: [None, Some(6)],
             refused: true,
         },
         Case {
             name: "no answer",
             state: Unknown,
-            wished: 6,
+            desired: 6,
             ordered: [None, Some(6)],
             refused: false,
         },
         Case {
             name: "accepted",
             state: Accepted,
-            wished: 6,
+            desired: 6,
             ordered: [None, None],
             refused: false,
         },
         Case {
-            name: "fewer, no answer",
+            name: "reduction, no answer",
             state: Unknown,
-            wished: 2,
+            desired: 2,
             ordered: [None, Some(2)],
             refused: false,
         },
         Case {
-            name: "fewer, after a refusal of more",
+            name: "reduction after a refused increase",
             state: Refused,
-            wished: 2,
+            desired: 2,
             ordered: [None, Some(2)],
             refused: true,
         },
     ];
     for case in cases {
         let start = Instant::now();
-        let mut pace = OrderPace::new(4, start);
-        pace.sent(start);
-        pace.answered(6, case.state);
-        assert_eq!(pace.is_refused(start), case.refused, "{}", case.name);
+        let mut pacer = OrderPacer::new(4, start);
+        pacer.record_sent(start);
+        pacer.record_result(6, case.state);
+        assert_eq!(pacer.is_refused(start), case.refused, "{}", case.name);
         let input = PaceInput {
-            wished: case.wished,
+            wished: case.desired,
             serving: 4,
             reclaimable: false,
             dry: false,
@@ -74,17 +74,17 @@
             load_known: true,
             boot: ms(4_000),
         };
-        let first = pace.next(&input, start + ms(1_000));
-        // Fewer are ordered only once a smaller number has sufficed for a while.
-        pace.next(&input, start + ms(1_900));
-        let second = pace.next(&input, start + ms(3_000));
+        let first = pacer.next_order(&input, start + ms(1_000));
+        // A reduction is ordered only after a smaller number has sufficed for a while.
+        pacer.next_order(&input, start + ms(1_900));
+        let second = pacer.next_order(&input, start + ms(3_000));
         assert_eq!([first, second], case.ordered, "{}", case.name);
-        assert!(!pace.is_refused(start + ms(10_000)), "{}: a refusal of long ago", case.name);
+        assert!(!pacer.is_refused(start + ms(10_000)), "{}: the refusal has expired", case.name);
     }
 }
 
 #[test]
-fn engines_that_go_after_an_order_are_ordered_anew_at_once_and_not_expected() {
+fn engines_that_end_after_an_order_are_ordered_again_at_once_and_not_expected() {
     struct Case {
         name: &'static str,
         /// Engines that serve two and three seconds after an order of four.
@@ -94,13 +94,13 @@
     }
     let cases = [
         Case { name: "none have started yet", serving: [0, 0], ordered: None, expected: true },
-        Case { name: "some have", serving: [1, 2], ordered: None, expected: true },
-        Case { name: "some have gone", serving: [3, 1], ordered: Some(4), expected: false },
-        Case { name: "all have", serving: [4, 0], ordered: Some(4), expected: false },
+        Case { name: "some have started", serving: [1, 2], ordered: None, expected: true },
+        Case { name: "some have ended", serving: [3, 1], ordered: Some(4), expected: false },
+        Case { name: "all have ended", serving: [4, 0], ordered: Some(4), expected: false },
     ];
     for case in cases {
         let now = Instant::now();
-        let mut pace = OrderPace::new(0, now);
+        let mut pacer = OrderPacer::new(0, now);
         let input = |serving| PaceInput {
             wished: 4,
             serving,
@@ -110,28 +110,29 @@
             load_known: true,
             boot: ms(4_000),
         };
-        assert_eq!(pace.next(&input(0), now), Some(4), "{}", case.name);
-        pace.sent(now);
-        pace.answered(4, OrderState::Accepted);
+        assert_eq!(pacer.next_order(&input(0), now), Some(4), "{}", case.name);
+        pacer.record_sent(now);
+        pacer.record_result(4, OrderState::Accepted);
         let [before, after] = case.serving;
-        assert_eq!(pace.next(&input(before), now + ms(2_000)), None, "{}", case.name);
+        assert_eq!(pacer.next_order(&input(before), now + ms(2_000)), None, "{}", case.name);
         let later = now + ms(3_000);
-        assert_eq!(pace.next(&input(after), later), case.ordered, "{}", case.name);
-        assert_eq!(pace.may_start(ms(4_000), later), case.expected, "{}", case.name);
+        assert_eq!(pacer.next_order(&input(after), later), case.ordered, "{}", case.name);
+        assert_eq!(pacer.may_start(ms(4_000), later), case.expected, "{}", case.name);
     }
 }
 
-/// A new holder plans in the middle of a wave as the one before would have.
+/// After a change of the lease holder during a series of reclaims, the new holder must plan as
+/// the previous one would have.
 #[test]
-fn a_change_of_holder_gives_up_no_engines_and_expects_none_that_were_refused() {
+fn a_new_holder_keeps_ordered_engines_and_expects_no_refused_ones() {
     let now = Instant::now();
     let key = |data_centre: &str, reclaimable| OrderKey {
         service: "chat".to_owned(),
         data_centre: data_centre.to_owned(),
         reclaimable,
     };
-    let input = |wished, serving, reclaimable| PaceInput {
-        wished,
+    let input = |desired, serving, reclaimable| PaceInput {
+        wished: desired,
         serving,
         reclaimable,
         dry: reclaimable,
@@ -148,18 +149,23 @@
     before.answered(&key("b", false), 5, OrderState::Accepted);
     struct Case {
         name: &'static str,
-        told: Vec<OrderReport>,
-        /// Engines on demand wished for then.
-        wished: u32,
+        reports: Vec<OrderReport>,
+        /// Desired engines on demand with these orders.
+        desired: u32,
         dry: bool,
     }
     let cases = [
-        Case { name: "nothing is told", told: Vec::new(), wished: 0, dry: false },
-        Case { name: "the orders are", told: before.reports(now), wished: 5, dry: true },
+        Case { name: "no orders are handed over", reports: Vec::new(), desired: 0, dry: false },
+        Case {
+            name: "the orders are handed over",
+            reports: before.reports(now),
+            desired: 5,
+            dry: true,
+        },
     ];
     for case in cases {
         let mut after = OrderBook::default();
-        after.resume(&case.told, now);
+        after.resume(&case.reports, now);
         assert_eq!(after.is_dry("chat", now), case.dry, "{}", case.name);
         let mut fleets = fleets([0; 4]);
         after.expect("chat", &mut fleets, ms(4_000), now);
@@ -171,98 +177,106 @@
             losses: 1,
             before_load: false,
         };
-        let wished: u32 = plan_engines(&input, &POLICY).values().map(|w| w.on_demand).sum();
-        assert_eq!(wished, case.wished, "{}", case.name);
+        let desired: u32 = plan_engines(&input, &POLICY).values().map(|w| w.on_demand).sum();
+        assert_eq!(desired, case.desired, "{}", case.name);
     }
 }
 
 #[test]
-fn a_new_holder_goes_on_from_the_orders_of_the_one_before() {
+fn a_new_holder_continues_from_the_orders_of_the_previous_one() {
     struct Case {
         name: &'static str,
-        pace: fn(Instant) -> OrderPace,
-        /// Of four ordered one serves.
+        pacer: fn(Instant) -> OrderPacer,
+        /// Engines still expected to start, where one of four serves.
         starting: u32,
-        more_expected: bool,
+        reclaimable_expected: bool,
     }
     let cases = [
         Case {
-            name: "nothing was told",
-            pace: |now| OrderPace::new(1, now),
+            name: "no order is handed over",
+            pacer: |now| OrderPacer::new(1, now),
             starting: 0,
-            more_expected: true,
+            reclaimable_expected: true,
         },
         Case {
             name: "accepted",
-            pace: |now| OrderPace::resumed(4, false, now),
+            pacer: |now| OrderPacer::resumed(4, false, now),
             starting: 3,
-            more_expected: true,
+            reclaimable_expected: true,
         },
         Case {
             name: "refused",
-            pace: |now| OrderPace::resumed(4, true, now),
+            pacer: |now| OrderPacer::resumed(4, true, now),
             starting: 0,
-            more_expected: false,
+            reclaimable_expected: false,
         },
     ];
     for case in cases {
         let now = Instant::now();
-        let pace = (case.pace)(now);
-        assert_eq!(pace.starting(1, ms(4_000), now), case.starting, "{}", case.name);
-        assert_eq!(pace.may_start(ms(4_000), now), case.more_expected, "{}", case.name);
-        assert!(!pace.may_start(ms(4_000), now + ms(8_000)), "{}: they did not start", case.name);
+        let pacer = (case.pacer)(now);
+        assert_eq!(pacer.starting(1, ms(4_000), now), case.starting, "{}", case.name);
+        assert_eq!(pacer.may_start(ms(4_000), now), case.reclaimable_expected, "{}", case.name);
+        assert!(
+            !pacer.may_start(ms(4_000), now + ms(8_000)),
+            "{}: the engines did not start",
+            case.name
+        );
     }
 }
 
 #[test]
-fn fewer_engines_are_ordered_after_a_while_only() {
+fn reductions_are_ordered_only_after_a_delay() {
     struct Case {
         name: &'static str,
         reclaimable: bool,
         dry: bool,
         idle: bool,
         load_known: bool,
-        /// Engines that the load needs, one figure each second; ten serve.
-        needs: &'static [u32],
+        /// Engines that the load requires, once per second; ten serve.
+        required: &'static [u32],
         ordered: Option<u32>,
     }
-    let case = |name, needs, ordered| Case {
+    let case = |name, required, ordered| Case {
         name,
         reclaimable: false,
         dry: false,
         idle: false,
         load_known: true,
-        needs,
+        required,
         ordered,
     };
     let cases = [
-        case("more at once", &[12], Some(12)),
-        case("enough", &[10, 10, 10, 10, 10, 10], None),
-        case("fewer, not for long yet", &[10, 6, 6, 6, 6, 6], None),
-        case("fewer for long", &[10, 6, 6, 6, 6, 6, 6], Some(6)),
-        case("as many as were needed meanwhile", &[10, 6, 6, 8, 3, 2, 2], Some(8)),
-        case("a wave", &[10, 6, 6, 10, 6, 6, 6], None),
+        case("increase at once", &[12], Some(12)),
+        case("no change", &[10, 10, 10, 10, 10, 10], None),
+        case("reduction, not for long enough", &[10, 6, 6, 6, 6, 6], None),
+        case("reduction for long enough", &[10, 6, 6, 6, 6, 6, 6], Some(6)),
+        case("reduction to the largest number required since", &[10, 6, 6, 8, 3, 2, 2], Some(8)),
+        case("fluctuating load", &[10, 6, 6, 10, 6, 6, 6], None),
         Case { idle: true, ..case("no load", &[6], Some(6)) },
-        Case { load_known: false, idle: true, ..case("the load is not known yet", &[6; 20], None) },
+        Case { load_known: false, idle: true, ..case("load not known yet", &[6; 20], None) },
         Case {
             dry: true,
-            ..case("nothing else to be had, not for long yet", &[10, 6, 6, 6, 6, 6], None)
+            ..case(
+                "no reclaimable engines available, not for long enough",
+                &[10, 6, 6, 6, 6, 6],
+                None,
+            )
         },
         Case {
             dry: true,
             reclaimable: true,
-            ..case("never given back while there are no others", &[6; 20], None)
+            ..case("reclaimable engines are kept while no others are available", &[6; 20], None)
         },
     ];
     for case in cases {
         let now = Instant::now();
-        let mut pace = OrderPace::new(10, now);
+        let mut pacer = OrderPacer::new(10, now);
         let mut peak = NeedPeak::new(ms(4_000));
         let mut ordered = None;
-        for (i, need) in case.needs.iter().enumerate() {
+        for (i, need) in case.required.iter().enumerate() {
             let now = now + ms(1_000 * i as u64);
             let input = PaceInput {
-                wished: peak.note(f64::from(*need), now).ceil() as u32,
+                wished: peak.record(f64::from(*need), now).ceil() as u32,
                 serving: 10,
                 reclaimable: case.reclaimable,
                 dry: case.dry,
@@ -270,18 +284,18 @@
                 load_known: case.load_known,
                 boot: ms(4_000),
             };
-            ordered = pace.next(&input, now);
+            ordered = pacer.next_order(&input, now);
         }
         assert_eq!(ordered, case.ordered, "{}", case.name);
     }
 }
 
 #[test]
-fn engines_on_demand_go_as_soon_as_others_carry_the_load() {
+fn engines_on_demand_are_given_up_once_reclaimable_engines_carry_the_load() {
     let now = Instant::now();
-    let mut pace = OrderPace::new(10, now);
-    let input = |wished| PaceInput {
-        wished,
+    let mut pacer = OrderPacer::new(10, now);
+    let input = |desired| PaceInput {
+        wished: desired,
         serving: 10,
         reclaimable: false,
         dry: true,
@@ -289,7 +303,11 @@
         load_known: true,
         boot: ms(4_000),
     };
-    assert_eq!(pace.next(&input(10), now), None);
-    assert_eq!(pace.next(&input(2), now + ms(500)), None, "those that start fail at times");
-    assert_eq!(pace.next(&input(2), now + ms(1_500)), Some(2), "the need itself did not fall");
+    assert_eq!(pacer.next_order(&input(10), now), None);
+    assert_eq!(
+        pacer.next_order(&input(2), now + ms(500)),
+        None,
+        "engines that have just started may fail"
+    );
+    assert_eq!(pacer.next_order(&input(2), now + ms(1_500)), Some(2), "the delay is over");
 }
--- a/tests/gateway_usage.rs
+++ b/tests/gateway_usage.rs
@@ -1,4 +1,4 @@
-//! Usage reports: requests that upstreams began count, however they ended.
+//! Usage reports: a request counts if an upstream began it, however it ended.
 
 mod support;
 
@@ -20,10 +20,10 @@
 };
 use tackhollow::gateway::decide::{beats_a_report, wait_after_takeover};
 
-/// Requests of one kind that are sent.
-const SENT: u64 = 6;
+/// Number of requests sent in each case.
+const REQUESTS: u64 = 6;
 
-/// Returns the requests of a customer in all reports, each window once.
+/// Returns a customer's requests over all reports, each window counted once.
 fn reported(site: &Site, customer: &str) -> u64 {
     let reports = site.duties("/usage");
     let mut windows = std::collections::BTreeMap::new();
@@ -33,7 +33,7 @@
     windows.values().map(|count| count.unwrap_or_default()).sum()
 }
 
-/// Requests that end in one way, and how many of them count.
+/// A kind of request ending, and the number of requests that count.
 struct Case {
     name: &'static str,
     call: fn(&str) -> Call,
@@ -53,59 +53,69 @@
     Call::stream("/plan/x", id, 4)
 }
 
-fn play(cases: &[Case]) {
+fn run_cases(cases: &[Case]) {
     for case in cases {
         let site = Site::start(1, 1, 2);
         site.behave(None, case.behaviour);
-        for n in 0..SENT {
+        for n in 0..REQUESTS {
             let call = (case.call)(&format!("r-{n}"));
             drop(call.send(site.gateways[0].callers));
         }
-        // The windows of the requests are reported before these.
+        // By then the windows of these requests have been reported.
         let settled = site.duties("/usage").len() + 5;
         wait_until("the windows are reported", || site.duties("/usage").len() >= settled);
         assert_eq!(reported(&site, "temple"), case.counted, "{}", case.name);
         let runs: Vec<Value> = site.seen()["runs"].as_array().cloned().unwrap_or_default();
-        assert!(case.counted == 0 || runs.len() as u64 >= SENT, "{}", case.name);
+        assert!(case.counted == 0 || runs.len() as u64 >= REQUESTS, "{}", case.name);
     }
 }
 
 #[test]
 fn a_request_with_an_answer_counts_once() {
-    play(&[
-        Case { name: "served", call: confirm, behaviour: "serve", counted: SENT },
-        Case { name: "failed", call: confirm, behaviour: "fail", counted: SENT },
+    run_cases(&[
+        Case { name: "served", call: confirm, behaviour: "serve", counted: REQUESTS },
+        Case { name: "failed", call: confirm, behaviour: "fail", counted: REQUESTS },
     ]);
 }
 
 #[test]
-fn a_request_whose_answer_is_lost_counts_once() {
-    play(&[
-        Case { name: "lost", call: confirm, behaviour: "lose", counted: SENT },
-        Case { name: "lost twice", call: check, behaviour: "lose", counted: SENT },
+fn a_request_with_a_lost_answer_counts_once() {
+    run_cases(&[
+        Case { name: "lost", call: confirm, behaviour: "lose", counted: REQUESTS },
+        Case { name: "lost twice", call: check, behaviour: "lose", counted: REQUESTS },
     ]);
 }
 
 #[test]
-fn a_request_that_is_cut_short_counts_once() {
-    play(&[
-        Case { name: "another's answer", call: confirm, behaviour: "crossed", counted: SENT },
-        Case { name: "broken midway", call: plan, behaviour: "break_midway", counted: SENT },
+fn a_request_that_is_cut_off_counts_once() {
+    run_cases(&[
+        Case {
+            name: "answer of another request",
+            call: confirm,
+            behaviour: "crossed",
+            counted: REQUESTS,
+        },
+        Case {
+            name: "broken off midway",
+            call: plan,
+            behaviour: "break_midway",
+            counted: REQUESTS,
+        },
     ]);
 }
 
 #[test]
-fn a_request_that_did_not_run_counts_for_nothing() {
-    play(&[Case { name: "not run", call: confirm, behaviour: "full", counted: 0 }]);
+fn a_request_that_did_not_run_does_not_count() {
+    run_cases(&[Case { name: "not run", call: confirm, behaviour: "full", counted: 0 }]);
 }
 
-/// Share of a window's requests by which a report may be off.
+/// Tolerated deviation of a report, as a share of the requests.
 const TOLERANCE: f64 = 0.05;
 
-/// The first report of a window stands for good, so whoever has just taken the lease over must
-/// have heard the counts of all.
+/// Windows must be complete when the lease changes hands: the first report of a window is
+/// final, so a new holder must have received the counts of all processes before it reports.
 #[test]
-fn windows_are_whole_whoever_reports_them() {
+fn windows_are_complete_whichever_process_reports_them() {
     let mut site = Site::start(12, 1, 2);
     let stop = Arc::new(AtomicBool::new(false));
     let callers: Vec<SocketAddr> = site.gateways.iter().map(|g| g.callers).collect();
@@ -129,47 +139,50 @@
         holder.restart();
     }
     stop.store(true, Ordering::Relaxed);
-    threads.into_iter().for_each(|t| t.join().expect("a caller goes on"));
+    threads.into_iter().for_each(|t| t.join().expect("caller thread"));
     let settled = site.duties("/usage").len() + 8;
     wait_until("the windows are reported", || site.duties("/usage").len() >= settled);
-    let ran = site.seen()["runs"].as_array().map_or(0, Vec::len) as f64;
-    let told = reported(&site, "temple") as f64;
-    assert!((ran - told).abs() <= TOLERANCE * ran, "{told} told of {ran} that ran");
+    let started_requests = site.seen()["runs"].as_array().map_or(0, Vec::len) as f64;
+    let reported_requests = reported(&site, "temple") as f64;
+    assert!(
+        (started_requests - reported_requests).abs() <= TOLERANCE * started_requests,
+        "{reported_requests} reported of {started_requests} started"
+    );
 }
 
-/// Returns the newest fencing number under which a gateway has held the lease.
+/// Returns the newest fencing token under which a gateway has held the lease.
 fn fence(gateway: &GatewayProc) -> u64 {
     let log = gateway.log();
     let acquired = log.iter().filter(|l| l["event"] == "lease" && l["state"] == "acquired");
     acquired.filter_map(|l| l["fence"].as_u64()).max().unwrap_or_default()
 }
 
-/// What a process knows of the others' counts when it takes the lease over, and after the time
-/// for which it waits, by the number of gateways. Reports are told each few heartbeats and
-/// one of fifty is lost; the others know the new holder some time after it took over.
+/// A new holder must have received the counts of all processes after its waiting time, for any
+/// number of gateways. Processes report every few heartbeats, one report in fifty is lost, and
+/// processes learn of the new holder some time after the takeover.
 #[test]
-fn a_new_holder_waits_until_it_has_heard_the_counts_of_all() {
+fn a_new_holder_waits_for_the_counts_of_all_processes() {
     const PERIOD: Duration = Duration::from_millis(150);
     const FAN_OUT: usize = 24;
-    const HOLDER_KNOWN_MS: u64 = 600;
-    const LOST_ONE_IN: u32 = 50;
+    const HOLDER_DISCOVERY_MS: u64 = 600;
+    const REPORTS_PER_LOSS: u32 = 50;
     let mut rng = fastrand::Rng::with_seed(7);
     for gateways in [7, 77, 195, 300] {
         let period = PERIOD.as_millis() as u64;
-        let each = period * u64::from(beats_a_report(gateways, FAN_OUT));
+        let interval = period * u64::from(beats_a_report(gateways, FAN_OUT));
         let waits = wait_after_takeover(gateways, FAN_OUT, PERIOD).as_millis() as u64;
-        let mut heard = 0;
+        let mut received = 0;
         for _ in 1..gateways {
-            let knows_holder = rng.u64(..HOLDER_KNOWN_MS);
-            let mut report = knows_holder + rng.u64(..each);
-            while report <= waits && rng.u32(..LOST_ONE_IN) == 0 {
-                report += each;
+            let knows_holder = rng.u64(..HOLDER_DISCOVERY_MS);
+            let mut report = knows_holder + rng.u64(..interval);
+            while report <= waits && rng.u32(..REPORTS_PER_LOSS) == 0 {
+                report += interval;
             }
-            heard += usize::from(report <= waits);
+            received += usize::from(report <= waits);
         }
-        let share = heard as f64 / (gateways - 1) as f64;
-        assert!(share >= 1.0 - TOLERANCE, "{gateways} gateways: {share} of them heard");
-        // Reports are due ten seconds after a window; they settle within four.
+        let share = received as f64 / (gateways - 1) as f64;
+        assert!(share >= 1.0 - TOLERANCE, "{gateways} gateways: share {share} received");
+        // Reports are due ten seconds after a window ends, and settle within four.
         assert!(waits <= 4_000, "{gateways} gateways: {waits} ms");
     }
 }
