--- a/src/gateway/decide/need.rs
+++ b/src/gateway/decide/need.rs
@@ -93,10 +93,10 @@
         self.tokens.add(f64::from(tokens), now);
     }
 
-    /// Records that a request ended after holding its slot for `held` seconds.
-    pub fn ended(&mut self, held: f64, now: Instant) {
+    /// Records that a request ended after holding its slot for `slot_seconds`.
+    pub fn ended(&mut self, slot_seconds: f64, now: Instant) {
         self.completions.add(1.0, now);
-        self.held.add(held, now);
+        self.held.add(slot_seconds, now);
     }
 
     /// Returns the requests per second; 0 once the load has ended.
--- a/src/gateway/decide/order_pacer.rs
+++ b/src/gateway/decide/order_pacer.rs
@@ -125,19 +125,19 @@
         if self.in_flight || (!accepted && age < RETRY_DELAY) {
             return None;
         }
-        let PaceInput { wished, serving, .. } = *input;
-        if wished > serving && (wished > self.count || !accepted) {
+        let PaceInput { wished: desired, serving, .. } = *input;
+        if desired > serving && (desired > self.count || !accepted) {
             self.pending_reduction = None;
-            return Some(wished);
+            return Some(desired);
         }
         // Engines that the previous holder ordered may show up late.
-        if wished < self.count.max(serving) {
+        if desired < self.count.max(serving) {
             return self.reduce(input, now);
         }
         self.pending_reduction = None;
         // The platform has reclaimed engines, or ordered ones do not start.
         let missing = self.lost_engines || age >= input.boot + BOOT_GRACE;
-        (serving < wished && missing).then_some(wished)
+        (serving < desired && missing).then_some(desired)
     }
 
     /// Detects that engines have gone which were not given up. Engines of the last order will
--- a/src/gateway/decide/speed.rs
+++ b/src/gateway/decide/speed.rs
@@ -16,7 +16,7 @@
 /// Default term for each concurrent request, in seconds.
 const DEFAULT_PER_RUNNING: f64 = 0.001;
 /// Default time for which a request holds a slot, in seconds.
-const DEFAULT_HELD: f64 = 1.0;
+const DEFAULT_SLOT_SECONDS: f64 = 1.0;
 /// Weight of the default values, in requests.
 const DEFAULT_WEIGHT: f64 = 2.0;
 /// Factor by which the weight of earlier requests decays with each request. The fit rests on
@@ -59,7 +59,7 @@
             base: DEFAULT_BASE,
             per_token: 1.0 / DEFAULT_TOKENS_PER_SECOND,
             per_running: DEFAULT_PER_RUNNING,
-            held: DEFAULT_HELD,
+            held: DEFAULT_SLOT_SECONDS,
         }
     }
 }
@@ -125,7 +125,7 @@
             base,
             per_token: per_token / UNITS[1],
             per_running: per_running / UNITS[2],
-            held: DEFAULT_HELD,
+            held: DEFAULT_SLOT_SECONDS,
         }
     }
 
--- a/tests/gateway_orders.rs
+++ b/tests/gateway_orders.rs
@@ -152,21 +152,26 @@
         reports: Vec<OrderReport>,
         /// Desired engines on demand with these orders.
         desired: u32,
-        dry: bool,
+        unavailable: bool,
     }
     let cases = [
-        Case { name: "no orders are handed over", reports: Vec::new(), desired: 0, dry: false },
+        Case {
+            name: "no orders are handed over",
+            reports: Vec::new(),
+            desired: 0,
+            unavailable: false,
+        },
         Case {
             name: "the orders are handed over",
             reports: before.reports(now),
             desired: 5,
-            dry: true,
+            unavailable: true,
         },
     ];
     for case in cases {
         let mut after = OrderBook::default();
         after.resume(&case.reports, now);
-        assert_eq!(after.is_dry("chat", now), case.dry, "{}", case.name);
+        assert_eq!(after.is_dry("chat", now), case.unavailable, "{}", case.name);
         let mut fleets = fleets([0; 4]);
         after.expect("chat", &mut fleets, ms(4_000), now);
         let scaling = scaling(10);
@@ -229,7 +234,7 @@
     struct Case {
         name: &'static str,
         reclaimable: bool,
-        dry: bool,
+        unavailable: bool,
         idle: bool,
         load_known: bool,
         /// Engines that the load requires, once per second; ten serve.
@@ -239,7 +244,7 @@
     let case = |name, required, ordered| Case {
         name,
         reclaimable: false,
-        dry: false,
+        unavailable: false,
         idle: false,
         load_known: true,
         required,
@@ -255,7 +260,7 @@
         Case { idle: true, ..case("no load", &[6], Some(6)) },
         Case { load_known: false, idle: true, ..case("load not known yet", &[6; 20], None) },
         Case {
-            dry: true,
+            unavailable: true,
             ..case(
                 "no reclaimable engines available, not for long enough",
                 &[10, 6, 6, 6, 6, 6],
@@ -263,7 +268,7 @@
             )
         },
         Case {
-            dry: true,
+            unavailable: true,
             reclaimable: true,
             ..case("reclaimable engines are kept while no others are available", &[6; 20], None)
         },
@@ -279,7 +284,7 @@
                 wished: peak.record(f64::from(*need), now).ceil() as u32,
                 serving: 10,
                 reclaimable: case.reclaimable,
-                dry: case.dry,
+                dry: case.unavailable,
                 idle: case.idle,
                 load_known: case.load_known,
                 boot: ms(4_000),
