--- /dev/null
+++ b/src/gateway/decide/store_stability.rs
@@ -0,0 +1,38 @@
+//! Whether the store has been answering without interruption, judged by this process's own
+//! calls.
+
+use std::time::{Duration, Instant};
+
+/// Longest time between two answers that is not an interruption. The holder of the lease calls
+/// the store several times a second.
+const MAX_ANSWER_GAP: Duration = Duration::from_millis(1_000);
+/// Time for which the store must have answered: longer than rows that expired during an outage
+/// take to reappear.
+const MIN_STREAK: Duration = Duration::from_millis(2_500);
+
+/// Period in which the store has answered without interruption.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Steadiness {
+    streak: Option<(Instant, Instant)>,
+}
+
+impl Steadiness {
+    /// Records whether the store answered a call.
+    pub fn note(&mut self, answered: bool, now: Instant) {
+        let unbroken = |last: Instant| now.saturating_duration_since(last) <= MAX_ANSWER_GAP;
+        self.streak = match self.streak {
+            _ if !answered => None,
+            Some((since, last)) if unbroken(last) => Some((since, now)),
+            _ => Some((now, now)),
+        };
+    }
+
+    /// Returns whether the store has answered for long enough that no row is missing because of
+    /// an outage of the store.
+    pub fn is_steady(&self, now: Instant) -> bool {
+        self.streak.is_some_and(|(since, last)| {
+            now.saturating_duration_since(last) <= MAX_ANSWER_GAP
+                && now.saturating_duration_since(since) >= MIN_STREAK
+        })
+    }
+}
