--- a/src/gateway/decide/rest.rs
+++ b/src/gateway/decide/cooldown.rs
@@ -1,4 +1,4 @@
-//! Upstreams that turned a request of this gateway away and asked for rest.
+//! Cooldowns: upstreams that rejected a request of this gateway and asked for a pause.
 
 use std::{
     collections::HashMap,
@@ -7,15 +7,16 @@
 
 use crate::gateway::model::Lifetime;
 
-/// Until when upstreams rest. Each asked this gateway alone.
+/// End of each upstream's cooldown. An upstream asks each gateway separately, so cooldowns are
+/// not shared with other gateways.
 #[derive(Clone, Debug, Default)]
 pub struct RestBook {
     until: HashMap<Lifetime, Instant>,
 }
 
 impl RestBook {
-    /// Notes that an upstream wants no requests for a while; returns whether it did not rest
-    /// before. A later word never ends a rest sooner.
+    /// Starts or extends the cooldown of an upstream, which a later request never shortens.
+    /// Returns whether the upstream was not cooling down before.
     pub fn learn(&mut self, upstream: Lifetime, rest: Duration, now: Instant) -> bool {
         let is_new = self.left(upstream, now).is_zero() && !rest.is_zero();
         let until = self.until.entry(upstream).or_insert(now);
@@ -23,18 +24,18 @@
         is_new
     }
 
-    /// Returns for how long an upstream still rests.
+    /// Returns the remaining cooldown of an upstream; zero if it has none.
     pub fn left(&self, upstream: Lifetime, now: Instant) -> Duration {
         let until = self.until.get(&upstream);
         until.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// Returns the number of upstreams that rest.
+    /// Returns the number of upstreams that are cooling down.
     pub fn resting(&self, now: Instant) -> usize {
         self.until.values().filter(|until| **until > now).count()
     }
 
-    /// Forgets rests that are over.
+    /// Removes cooldowns that are over.
     pub fn forget(&mut self, now: Instant) {
         self.until.retain(|_, until| *until > now);
     }
--- a/src/gateway/decide/leaving.rs
+++ b/src/gateway/decide/leaving.rs
@@ -1,7 +1,7 @@
-//! Upstreams that said in their answers that they leave.
+//! Upstreams that announced in a response that they are leaving.
 //!
-//! Their rows in the store may still say that they take work: the store may be away, or the
-//! rows late. An upstream that has said so once leaves, for the rest of its lifetime.
+//! Their rows in the store may still say that they take work: the store may be unreachable, or
+//! the rows may be late. An announcement holds for the rest of the upstream's lifetime.
 
 use std::{collections::HashMap, time::Instant};
 
@@ -9,65 +9,70 @@
 
 use super::{
     StoreMillis,
-    telling::{Telling, take_turns},
+    gossip::{GossipState, select_for_heartbeat},
 };
 use crate::gateway::model::Lifetime;
 
-/// An upstream that leaves, as a gateway tells it to the others.
+/// An upstream that is leaving, as gateways report it to each other in heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeavingReport(
-    /// The upstream.
+    /// The upstream that is leaving.
     pub Lifetime,
-    /// When it first said so, by the store's clock.
+    /// Earliest known announcement, by the store's clock.
     pub StoreMillis,
 );
 
 #[derive(Clone, Copy, Debug)]
-struct Said {
+struct Announcement {
     since: Instant,
-    telling: Telling,
+    gossip: GossipState,
 }
 
-/// Upstreams that said that they leave, by lifetime.
+/// The upstreams that announced that they are leaving, by lifetime.
 #[derive(Clone, Debug, Default)]
 pub struct LeavingBook {
-    said: HashMap<Lifetime, Said>,
+    announcements: HashMap<Lifetime, Announcement>,
 }
 
 impl LeavingBook {
-    /// Notes that an upstream has said so since a moment; returns whether that is new.
+    /// Records that an upstream has been leaving since `since`; the earliest such time counts.
+    /// Returns whether the upstream was not known to be leaving.
     pub fn learn(&mut self, upstream: Lifetime, since: Instant, now: Instant) -> bool {
-        match self.said.get_mut(&upstream) {
-            Some(said) => {
-                said.since = said.since.min(since);
+        match self.announcements.get_mut(&upstream) {
+            Some(known) => {
+                known.since = known.since.min(since);
                 false
             }
             None => {
-                self.said.insert(upstream, Said { since, telling: Telling::new(now) });
+                self.announcements
+                    .insert(upstream, Announcement { since, gossip: GossipState::new(now) });
                 true
             }
         }
     }
 
-    /// Returns since when an upstream has said so; `None` if it has not.
+    /// Returns since when an upstream has been leaving; `None` if it made no announcement.
     pub fn since(&self, upstream: Lifetime) -> Option<Instant> {
-        self.said.get(&upstream).map(|said| said.since)
+        self.announcements.get(&upstream).map(|known| known.since)
     }
 
-    /// Returns which of the upstreams that `are_told` the others are told now, each with
-    /// the moment since when it has said so.
+    /// Returns the upstreams to report in the next heartbeat, among those for which
+    /// `needs_report` holds, each with the time since when it has been leaving.
     pub fn to_tell(
         &mut self,
-        are_told: impl Fn(Lifetime) -> bool,
+        needs_report: impl Fn(Lifetime) -> bool,
         now: Instant,
     ) -> Vec<(Lifetime, Instant)> {
-        let due = self.said.iter_mut().filter(|(_, said)| said.telling.is_due(now));
-        let told = due.filter(|(upstream, _)| are_told(**upstream));
-        take_turns(told.map(|(upstream, said)| (*upstream, &mut said.telling, said.since)))
+        let due = self.announcements.iter_mut().filter(|(_, known)| known.gossip.is_due(now));
+        let reported = due.filter(|(upstream, _)| needs_report(**upstream));
+        select_for_heartbeat(
+            reported.map(|(upstream, known)| (*upstream, &mut known.gossip, known.since)),
+        )
     }
 
-    /// Forgets upstreams that are not `listed`, after a while.
+    /// Removes upstreams that have not been `listed` for the retention time.
     pub fn retain(&mut self, listed: impl Fn(Lifetime) -> bool, now: Instant) {
-        self.said.retain(|upstream, said| said.telling.keep(listed(*upstream), now));
+        self.announcements
+            .retain(|upstream, known| known.gossip.update_listed(listed(*upstream), now));
     }
 }
--- a/src/gateway/decide/mod.rs
+++ b/src/gateway/decide/mod.rs
@@ -1,13 +1,16 @@
-//! Decisions: pure functions over plain state, without sockets, clocks or
-//! randomness of their own.
+//! Decision logic of the gateway: functions and state machines without I/O. Callers pass in the
+//! current time and random numbers.
 
 mod backoff;
 mod breaker;
 mod cache;
 mod capacity;
 mod clock;
+mod cooldown;
 mod crashes;
 mod engine;
+mod fan_out;
+mod gossip;
 mod kept;
 mod knowledge;
 mod leaving;
@@ -22,13 +25,10 @@
 mod reading;
 mod removal;
 mod reporting;
-mod rest;
 mod retry;
 mod rollout;
 mod speed;
-mod spread;
 mod steady;
-mod telling;
 mod usage;
 mod window_sum;
 
@@ -37,11 +37,15 @@
 pub use cache::CacheBelief;
 pub use capacity::{CapacityInput, CapacityPolicy, Fleet, Wish, needed_at_start, plan_engines};
 pub use clock::TrueClock;
+pub use cooldown::RestBook;
 pub use crashes::{
     Break, Breaks, Change, CopyReport, CrashBook, CrashNews, CrashVerdict, Permission,
     SuspectReport, TrialTurn, VerdictReport,
 };
 pub use engine::{Candidate, choose_engine, least_to_lose, predicted_wait};
+pub use fan_out::{
+    DIRECT, FAR_BYTES, NEAR_BYTES, PASSED_ON_WITHIN, Receivers, dealt, far_shares, receivers, turns,
+};
 pub use kept::{CapacityRecord, Kept};
 pub use knowledge::{Knowledge, OLD, StoreClock, StoreMillis};
 pub use leaving::{LeavingBook, LeavingReport};
@@ -58,7 +62,6 @@
 pub use reading::{READERS, Reader, Turn, longest_calm_gap, rank, turn, wait_at_start};
 pub use removal::{Removal, RowCount, have_lapsed};
 pub use reporting::{beats_a_report, wait_after_takeover};
-pub use rest::RestBook;
 pub use retry::{RetryBook, RetryTerms};
 pub use rollout::{
     AnswerCount, AnswerRow, Doubt, Exposing, ExposureTerms, Findings, Member, RolloutBook,
@@ -66,9 +69,6 @@
     SentRow, Side, TypicalTimes,
 };
 pub use speed::{EngineSpeed, FirstToken, SpeedModel};
-pub use spread::{
-    DIRECT, FAR_BYTES, NEAR_BYTES, PASSED_ON_WITHIN, Receivers, dealt, far_shares, receivers, turns,
-};
 pub use steady::Steadiness;
 pub use usage::{Counts, UsageBook, Window};
 pub use window_sum::WindowSum;
--- a/src/gateway/decide/rate_limit.rs
+++ b/src/gateway/decide/rate_limit.rs
@@ -1,11 +1,11 @@
-//! Rate limits that upstreams name, held by all gateways together.
+//! Rate limits that upstreams announce, enforced by all gateways together.
 //!
-//! An upstream's limit counts the requests of all gateways, and may leave each of them far
-//! less than one request a second. So it is divided among a few gateways, which all draw alike
-//! by rendezvous hashing, and each spends its part in whole requests; the others choose other
-//! upstreams, and ask a holder for a request of its part where there are none. Gateways whose
-//! views of the fleet differ for a while exceed the limit by the parts of those over which they
-//! differ.
+//! An upstream's limit covers the requests of all gateways, and an equal share for each gateway
+//! may be far less than one request a second. So the limit is divided among a few gateways, the
+//! holders, which every gateway determines for itself by rendezvous hashing. Each holder spends
+//! its share in whole requests. The other gateways choose other upstreams; where there are none,
+//! they ask a holder to grant a request from its share. While gateways disagree about who is in
+//! the fleet, the limit can be exceeded by the shares of the gateways that they disagree about.
 
 use std::{
     cmp::Reverse,
@@ -17,60 +17,60 @@
 
 use super::{
     StoreMillis,
-    telling::{Telling, take_turns},
+    gossip::{GossipState, select_for_heartbeat},
 };
 use crate::{gateway::model::Lifetime, prefix};
 
-/// Span of its part that a gateway may save up beyond one request.
-const SAVED_SPAN: f64 = 0.25;
-/// Least requests a second that count as the limit: an upstream that gets none cannot say
-/// that it takes more again.
-const LEAST_RATE: f64 = 0.05;
-/// For how long the others are told that a limit has ended.
-const END_TOLD: Duration = Duration::from_secs(12);
-/// Holders of parts that a gateway knows to ask. Each asks other ones.
-const ASKED: usize = 4;
-/// Time after which a holder is asked again that did not answer.
+/// Burst beyond one request, in seconds of the share.
+const BURST_SECONDS: f64 = 0.25;
+/// Lower bound of a limit, in requests a second: an upstream that gets no requests cannot
+/// announce in a response that it takes more again.
+const MIN_RATE: f64 = 0.05;
+/// How long the end of a limit is reported to other gateways.
+const LIMIT_END_REPORT_TIME: Duration = Duration::from_secs(12);
+/// Holders of a limit that a gateway may ask. Different gateways ask different holders.
+const MAX_HOLDERS_TO_ASK: usize = 4;
+/// Delay before a holder that did not answer, or that has no share, is asked again.
 pub const GRANT_RETRY: Duration = Duration::from_secs(1);
-/// Shortest time after which a holder is asked again that had no room.
-const SHORTEST_RETRY: Duration = Duration::from_millis(100);
+/// Shortest delay before a holder that denied a request is asked again.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// A gateway that may have a part of limits, by the hash of its host's name: one that starts
-/// again keeps its parts.
+/// A gateway that may hold shares of limits, identified by a hash of its host name: a gateway that
+/// restarts keeps its shares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Holder(u64);
 
 impl Holder {
-    /// Names the gateway on a host.
+    /// Returns the identifier of the gateway on `host`.
     pub fn new(host: &str) -> Self {
         Self(prefix::hash(host.as_bytes()))
     }
 }
 
-/// What a holder says to the question for a request of its part.
+/// Answer of a holder that was asked to grant a request from its share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HolderAnswer {
     /// The request may be sent.
     Granted,
-    /// It has no room for so long.
+    /// The holder expects no capacity for this long.
     Denied(Duration),
 }
 
-/// What an upstream said of its limit.
+/// A rate limit that an upstream announced in a response, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitNotice {
-    /// Requests a second from all gateways together; `None` if it takes any number.
+    /// Requests a second from all gateways together; `None` if the upstream has no limit.
     pub rate: Option<f64>,
-    /// When it said so, by the store's clock.
+    /// Time of the announcement, by the store's clock; the newest one counts.
     pub at: StoreMillis,
 }
 
-/// The limit of one upstream, as a gateway tells it to the others.
+/// The limit of one upstream, as gateways report it to each other in heartbeats.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport(
-    /// The upstream.
+    /// The upstream that the limit protects.
     pub Lifetime,
-    /// What it said.
+    /// Its newest announcement that the reporting gateway knows.
     pub LimitNotice,
 );
 
@@ -79,23 +79,24 @@
 pub struct LimitMembers {
     own: Holder,
     others: Vec<Holder>,
-    /// Whether this gateway takes a part.
-    takes_part: bool,
+    /// Whether this gateway takes a share.
+    takes_share: bool,
 }
 
 impl LimitMembers {
-    /// Creates the list: this gateway, the others, and whether this one takes a part.
-    pub fn new(own: Holder, others: impl Iterator<Item = Holder>, takes_part: bool) -> Self {
+    /// Creates the members from this gateway (`own`) and the others, which may repeat or include
+    /// `own`. Without `takes_share`, this gateway has no share of any limit.
+    pub fn new(own: Holder, others: impl Iterator<Item = Holder>, takes_share: bool) -> Self {
         let mut others: Vec<Holder> = others.filter(|o| *o != own).collect();
         others.sort_unstable();
         others.dedup();
-        Self { own, others, takes_part }
+        Self { own, others, takes_share }
     }
 
-    /// Returns this gateway's part of an upstream's rate, in requests a second, and others that
-    /// have parts.
+    /// Returns this gateway's share of an upstream's rate, in requests a second, and other holders
+    /// that it may ask.
     fn divide(&self, upstream: Lifetime, rate: f64) -> (f64, Vec<Holder>) {
-        // Each holder of a part may be one request ahead of it.
+        // Each holder may be up to one request ahead of its share, so their number is bounded.
         let holders = (rate as usize).saturating_add(1).min(self.others.len() + 1);
         let rank = |holder: &Holder| Reverse(score(upstream, *holder));
         let mut others = self.others.clone();
@@ -105,15 +106,16 @@
             others.select_nth_unstable_by_key(holders, rank);
             others.truncate(holders);
         }
-        // Askers spread over the holders.
+        // Spreads the questions of different gateways over the holders.
         others.sort_unstable_by_key(|holder| score(upstream, Holder(holder.0 ^ self.own.0)));
-        others.truncate(ASKED);
-        let part = if self.takes_part && is_holder { rate / holders as f64 } else { 0.0 };
-        (part, others)
+        others.truncate(MAX_HOLDERS_TO_ASK);
+        let share = if self.takes_share && is_holder { rate / holders as f64 } else { 0.0 };
+        (share, others)
     }
 }
 
-/// Rank of a gateway at an upstream: a mix of both names in which each bit counts.
+/// Rendezvous hash of a gateway for an upstream: a mix of both identifiers in which each bit
+/// affects the result.
 fn score(upstream: Lifetime, gateway: Holder) -> u64 {
     let mut mixed = gateway.0 ^ upstream.seed();
     for multiplier in [0xbf58_476d_1ce4_e5b9, 0x94d0_49bb_1331_11eb] {
@@ -122,99 +124,102 @@
     mixed ^ (mixed >> 32)
 }
 
-/// What a gateway may send of its part of a limit, in whole requests.
+/// Token bucket of a gateway's share of a limit; one token is one request.
 #[derive(Clone, Copy, Debug)]
-struct Bucket {
-    part: f64,
-    level: f64,
-    at: Instant,
+struct TokenBucket {
+    /// Tokens added a second.
+    share: f64,
+    /// Tokens at `updated`.
+    tokens: f64,
+    updated: Instant,
 }
 
-impl Bucket {
-    /// A bucket is empty at first: the gateway that had the part before may have just used it.
+impl TokenBucket {
+    /// Creates an empty bucket: the gateway that held the share before may have just used it.
     fn new(now: Instant) -> Self {
-        Self { part: 0.0, level: 0.0, at: now }
+        Self { share: 0.0, tokens: 0.0, updated: now }
     }
 
-    fn most(&self) -> f64 {
-        1.0 + self.part * SAVED_SPAN
+    fn capacity(&self) -> f64 {
+        1.0 + self.share * BURST_SECONDS
     }
 
-    fn level(&self, now: Instant) -> f64 {
-        let elapsed = now.saturating_duration_since(self.at).as_secs_f64();
-        (self.level + self.part * elapsed).min(self.most())
+    fn tokens(&self, now: Instant) -> f64 {
+        let elapsed = now.saturating_duration_since(self.updated).as_secs_f64();
+        (self.tokens + self.share * elapsed).min(self.capacity())
     }
 
-    fn set_part(&mut self, part: f64, now: Instant) {
-        let level = if part > 0.0 { self.level(now) } else { 0.0 };
-        *self = Self { part, level, at: now };
-        self.level = self.level.min(self.most());
+    fn set_share(&mut self, share: f64, now: Instant) {
+        let tokens = if share > 0.0 { self.tokens(now) } else { 0.0 };
+        *self = Self { share, tokens, updated: now };
+        self.tokens = self.tokens.min(self.capacity());
     }
 
+    /// Returns the time until a token is available; `None` if there is no share.
     fn wait(&self, now: Instant) -> Option<Duration> {
-        let missing = 1.0 - self.level(now);
+        let missing = 1.0 - self.tokens(now);
         if missing <= 0.0 {
             return Some(Duration::ZERO);
         }
-        (self.part > 0.0).then(|| Duration::from_secs_f64(missing / self.part))
+        (self.share > 0.0).then(|| Duration::from_secs_f64(missing / self.share))
     }
 
     fn take(&mut self, now: Instant) -> bool {
-        let level = self.level(now);
-        if level < 1.0 {
+        let tokens = self.tokens(now);
+        if tokens < 1.0 {
             return false;
         }
-        (self.level, self.at) = (level - 1.0, now);
+        (self.tokens, self.updated) = (tokens - 1.0, now);
         true
     }
 }
 
-/// A holder that may be asked, and from when on.
+/// A holder that may be asked for a grant, from `not_before` on.
 #[derive(Clone, Copy, Debug)]
-struct Asked {
+struct HolderToAsk {
     holder: Holder,
-    from: Instant,
+    not_before: Instant,
 }
 
 #[derive(Clone, Debug)]
 struct Limit {
     notice: LimitNotice,
-    bucket: Bucket,
-    /// Until when the others are told, once it has ended.
-    told_until: Instant,
-    telling: Telling,
-    /// Others that have parts.
-    holders: Vec<Asked>,
-    /// Whether the parts are those of the present rate and members.
+    bucket: TokenBucket,
+    /// Until when the end of the limit is reported, if it has ended.
+    report_end_until: Instant,
+    gossip: GossipState,
+    /// Other gateways with shares that this one may ask.
+    holders: Vec<HolderToAsk>,
+    /// Whether the share and the holders match the current rate.
     is_divided: bool,
 }
 
 impl Limit {
     fn rate(&self) -> Option<f64> {
-        self.notice.rate.map(|rate| rate.max(LEAST_RATE))
+        self.notice.rate.map(|rate| rate.max(MIN_RATE))
     }
 }
 
-/// The newest limit of each upstream that ever named one, and this gateway's part of it.
+/// The newest known limit of each upstream that announced one, and this gateway's share of it.
 #[derive(Clone, Debug, Default)]
 pub struct LimitBook {
     limits: HashMap<Lifetime, Limit>,
-    /// The gateways among which they are divided.
+    /// Members of the last division; `None` before the first.
     members: Option<LimitMembers>,
 }
 
 impl LimitBook {
-    /// Takes over what an upstream said, if it is newer than what is known; returns whether
-    /// that changes its limit.
+    /// Takes an upstream's announcement unless a newer one is known; returns whether the
+    /// upstream's limit changes.
     pub fn learn(&mut self, upstream: Lifetime, notice: LimitNotice, now: Instant) -> bool {
-        let told_until = now + END_TOLD;
+        let report_end_until = now + LIMIT_END_REPORT_TIME;
         let Some(known) = self.limits.get_mut(&upstream) else {
             if notice.rate.is_some() {
                 let limit = Limit {
                     notice,
-                    bucket: Bucket::new(now),
-                    told_until,
-                    telling: Telling::new(now),
+                    bucket: TokenBucket::new(now),
+                    report_end_until,
+                    gossip: GossipState::new(now),
                     holders: Vec::new(),
                     is_divided: false,
                 };
@@ -223,36 +228,37 @@
             return notice.rate.is_some();
         };
         if notice.at < known.notice.at {
-            // Whoever tells this has not heard of what came after it.
-            known.told_until = told_until;
-            known.telling.begin_again();
+            // The sender does not know the newer announcement yet, so that one is sent again.
+            known.report_end_until = report_end_until;
+            known.gossip.prioritize();
             return false;
         }
         let changed = known.notice.rate != notice.rate;
         if changed {
-            known.told_until = told_until;
-            known.telling.begin_again();
+            known.report_end_until = report_end_until;
+            known.gossip.prioritize();
             known.is_divided = false;
         }
         known.notice = notice;
         changed
     }
 
-    /// Divides the limits among gateways, as far as limits or gateways have changed.
+    /// Divides the limits among the members, where limits or members have changed.
     pub fn divide(&mut self, members: LimitMembers, now: Instant) {
         let are_new = self.members.as_ref() != Some(&members);
         for (upstream, limit) in self.limits.iter_mut().filter(|(_, l)| are_new || !l.is_divided) {
             let divided = limit.rate().map(|rate| members.divide(*upstream, rate));
-            let (part, holders) = divided.unwrap_or_default();
-            limit.bucket.set_part(part, now);
-            limit.holders = holders.into_iter().map(|holder| Asked { holder, from: now }).collect();
+            let (share, holders) = divided.unwrap_or_default();
+            limit.bucket.set_share(share, now);
+            limit.holders =
+                holders.into_iter().map(|holder| HolderToAsk { holder, not_before: now }).collect();
             limit.is_divided = true;
         }
         self.members = Some(members);
     }
 
-    /// Returns how long it takes until this gateway may send a request to an upstream;
-    /// `None` if it has no part of its limit.
+    /// Returns the time until this gateway may send a request to an upstream: zero if the upstream
+    /// has no limit, `None` if this gateway has no share of it.
     pub fn wait(&self, upstream: Lifetime, now: Instant) -> Option<Duration> {
         match self.limits.get(&upstream).filter(|l| l.notice.rate.is_some()) {
             Some(limit) => limit.bucket.wait(now),
@@ -260,7 +266,7 @@
         }
     }
 
-    /// Counts a request that is sent to an upstream; `false` if it must not be sent.
+    /// Takes a token for a request to an upstream; returns whether the request may be sent.
     pub fn take(&mut self, upstream: Lifetime, now: Instant) -> bool {
         match self.limits.get_mut(&upstream).filter(|l| l.notice.rate.is_some()) {
             Some(limit) => limit.bucket.take(now),
@@ -268,13 +274,14 @@
         }
     }
 
-    /// Grants a request of this gateway's part to another one.
+    /// Takes a token from this gateway's share for a request of another gateway.
     ///
     /// # Errors
     ///
-    /// Fails with the time after which it is worth asking again.
+    /// Fails with the time after which to ask again, if no token is available or no limit known.
     pub fn grant(&mut self, upstream: Lifetime, now: Instant) -> Result<(), Duration> {
-        // Whoever asks knows of a limit: it is not for this gateway to say that there is none.
+        // The asking gateway knows of a limit. This one may not have heard of it yet, so it must not
+        // treat the upstream as unlimited.
         let limit = self.limits.get_mut(&upstream).filter(|l| l.notice.rate.is_some());
         let limit = limit.ok_or(GRANT_RETRY)?;
         match limit.bucket.take(now) {
@@ -283,22 +290,21 @@
         }
     }
 
-    /// Returns the holders of parts that may have room.
+    /// Returns the holders that may have capacity and may be asked at `now`.
     pub fn holders_to_ask(&self, upstream: Lifetime, now: Instant) -> impl Iterator<Item = Holder> {
         let limit = self.limits.get(&upstream).filter(|l| l.notice.rate.is_some());
         let holders = limit.into_iter().flat_map(|l| &l.holders);
-        holders.filter(move |asked| asked.from <= now).map(|asked| asked.holder)
+        holders.filter(move |h| h.not_before <= now).map(|h| h.holder)
     }
 
-    /// Returns how long it takes until another gateway may have room; `None` if there is none
-    /// to ask.
+    /// Returns the time until another holder may be asked; `None` if there is none.
     pub fn wait_of_others(&self, upstream: Lifetime, now: Instant) -> Option<Duration> {
         let holders = &self.limits.get(&upstream)?.holders;
-        let waits = holders.iter().map(|asked| asked.from.saturating_duration_since(now));
-        waits.min().map(|wait| wait.max(SHORTEST_RETRY))
+        let waits = holders.iter().map(|h| h.not_before.saturating_duration_since(now));
+        waits.min().map(|wait| wait.max(MIN_RETRY_DELAY))
     }
 
-    /// Takes over what a holder answered.
+    /// Records a holder's answer: a holder that denied is not asked again before the given time.
     pub fn note_answer(
         &mut self,
         upstream: Lifetime,
@@ -307,32 +313,35 @@
         now: Instant,
     ) {
         let limit = self.limits.get_mut(&upstream);
-        let asked = limit.and_then(|l| l.holders.iter_mut().find(|a| a.holder == holder));
-        if let (Some(asked), HolderAnswer::Denied(wait)) = (asked, answer) {
-            asked.from = now + wait.max(SHORTEST_RETRY);
+        let entry = limit.and_then(|l| l.holders.iter_mut().find(|h| h.holder == holder));
+        if let (Some(entry), HolderAnswer::Denied(wait)) = (entry, answer) {
+            entry.not_before = now + wait.max(MIN_RETRY_DELAY);
         }
     }
 
-    /// Returns the requests a second that all gateways together may send to an upstream.
+    /// Returns the requests a second that all gateways together may send to an upstream; `None` if
+    /// it has no limit.
     pub fn rate(&self, upstream: Lifetime) -> Option<f64> {
         self.limits.get(&upstream).and_then(Limit::rate)
     }
 
-    /// Returns what the other gateways are told now.
+    /// Returns the limits to report to other gateways in the next heartbeat.
     pub fn reports(&mut self, now: Instant) -> Vec<LimitReport> {
-        let due = self.limits.iter_mut().filter(|(_, limit)| limit.telling.is_due(now));
-        let told = due.filter(|(_, l)| l.notice.rate.is_some() || now < l.told_until);
-        let told = take_turns(told.map(|(of, limit)| (*of, &mut limit.telling, limit.notice)));
-        told.into_iter().map(|(upstream, notice)| LimitReport(upstream, notice)).collect()
+        let due = self.limits.iter_mut().filter(|(_, limit)| limit.gossip.is_due(now));
+        let reported = due.filter(|(_, l)| l.notice.rate.is_some() || now < l.report_end_until);
+        let reported = select_for_heartbeat(
+            reported.map(|(upstream, limit)| (*upstream, &mut limit.gossip, limit.notice)),
+        );
+        reported.into_iter().map(|(upstream, notice)| LimitReport(upstream, notice)).collect()
     }
 
-    /// Returns the number of upstreams with a limit.
+    /// Returns the number of upstreams that have a limit.
     pub fn limited(&self) -> usize {
         self.limits.values().filter(|l| l.notice.rate.is_some()).count()
     }
 
-    /// Forgets upstreams that are not `listed`, after a while.
+    /// Removes upstreams that have not been `listed` for the retention time.
     pub fn retain(&mut self, listed: impl Fn(Lifetime) -> bool, now: Instant) {
-        self.limits.retain(|upstream, limit| limit.telling.keep(listed(*upstream), now));
+        self.limits.retain(|upstream, limit| limit.gossip.update_listed(listed(*upstream), now));
     }
 }
--- a/src/gateway/decide/reading.rs
+++ b/src/gateway/decide/reading.rs
@@ -1,74 +1,84 @@
 //! Which gateways call the platform's store for changes, and when.
 //!
-//! A call that waits for changes says nothing while it waits: nothing may have changed,
-//! its answer may be lost, or its connection may be dead. Only another call tells. So the
-//! calls of the readers are spread over the store's clock, whatever became of those
-//! before; and any other gateway calls, too, in turn, whose knowledge has grown old.
+//! A long poll that is still waiting proves nothing: nothing may have changed, its answer may be
+//! lost, or its connection may be dead. Only another call can tell. So the calls of the readers
+//! are spread evenly over the store's clock, whatever became of the earlier calls. In addition,
+//! the other gateways call in turn once their own knowledge has grown old.
 
 use std::time::Duration;
 
 use super::StoreMillis;
 use crate::prefix;
 
-/// Gateways that read the store for all. Each call is paid for; three leave one when two
-/// are cut off.
+/// Number of gateways that read the store on behalf of all. Each call is billed; with three
+/// readers, one is left when two are cut off.
 pub const READERS: usize = 3;
-/// Between calls of one reader. Some call has then begun within `CALL_SPACING`, which leaves
-/// time for the news to go round within a second.
-const PERIOD: Duration = Duration::from_millis(CALL_SPACING.as_millis() as u64 * READERS as u64);
-/// Between calls of all readers together.
+/// Interval between the calls of one reader. Some reader begins a call in every `CALL_SPACING`,
+/// which leaves time for the result to reach all gateways within a second.
+const READER_INTERVAL: Duration =
+    Duration::from_millis(CALL_SPACING.as_millis() as u64 * READERS as u64);
+/// Interval between the calls of all readers together.
 pub const CALL_SPACING: Duration = Duration::from_millis(500);
-/// Time in which the news of a call goes round.
-const NEWS: Duration = Duration::from_millis(300);
-/// Shortest wait of a call.
-const SHORTEST_WAIT: Duration = Duration::from_millis(150);
-/// Age of knowledge at which gateways that are no readers call, too: older than it grows
-/// between the calls of the readers, until their news is heard.
-const STALE: Duration = Duration::from_millis(800);
-/// Time in which one gateway of those whose knowledge has grown old calls.
-const STAND_IN_PERIOD: Duration = Duration::from_millis(400);
-/// Between looks at whether it is this gateway's turn.
-const LOOK: Duration = Duration::from_millis(200);
+/// Time in which the result of a call reaches all gateways.
+const PROPAGATION_TIME: Duration = Duration::from_millis(300);
+/// Shortest long poll.
+const MIN_LONG_POLL: Duration = Duration::from_millis(150);
+/// Age of knowledge from which gateways that are not readers call, too. Knowledge does not get
+/// this old while readers are answered: the limit is above the interval between their calls plus
+/// the propagation time.
+const FALLBACK_AGE: Duration = Duration::from_millis(800);
+/// Interval in which one of the gateways whose knowledge has grown old calls.
+const FALLBACK_INTERVAL: Duration = Duration::from_millis(400);
+/// Interval in which a gateway that does not call checks whether it has to.
+const RECHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Gateways that read the list of upstreams at once when all start together. The list is long,
-/// and the store answers so many calls a second; the others get it from these.
-const STARTERS: usize = 16;
-/// Between the reads of as many gateways that were not told it meanwhile.
-const STARTERS_STEP: Duration = Duration::from_millis(200);
+/// Gateways that read the list of upstreams at the same time when all start together. The list is
+/// long, and the store answers a limited number of calls a second; the other gateways get it from
+/// these.
+const STARTUP_BATCH: usize = 16;
+/// Interval between such batches, made of gateways that have not received the list meanwhile.
+const STARTUP_BATCH_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Returns how long a gateway that starts waits for others to tell it the list of upstreams
-/// before it reads it. `rank` is its place among all gateways that have announced themselves.
+/// Returns how long a starting gateway waits to receive the list of upstreams from others before
+/// it reads the list itself. `rank` is its place among all gateways that have announced
+/// themselves, from 0.
 pub fn wait_at_start(rank: usize) -> Duration {
-    STARTERS_STEP * (rank / STARTERS) as u32
+    STARTUP_BATCH_INTERVAL * (rank / STARTUP_BATCH) as u32
 }
 
-/// Returns the longest time between two reads of a table while the store answers so many
-/// gateways: few of them make fewer calls.
+/// Returns the longest time between two reads of a table, as other gateways see them, while the
+/// store answers. With fewer gateways than readers, fewer calls are made.
 pub fn longest_calm_gap(gateways: usize) -> Duration {
-    PERIOD / READERS.min(gateways.max(1)) as u32 + NEWS
+    READER_INTERVAL / READERS.min(gateways.max(1)) as u32 + PROPAGATION_TIME
 }
 
-/// A process that might read the store.
+/// A gateway process that may become a reader. Candidates that the store answers sort first, then
+/// by process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Reader<'a> {
-    /// Whether the store does not answer it, as far as it knows.
+    /// Whether the store does not answer this process, as far as is known.
     pub turned_away: bool,
-    /// The process.
+    /// Identifier of the process.
     pub process: &'a str,
 }
 
-/// Returns the place of `own` among the few that read the store, of all that serve as
-/// far as is heard: those that the store answers go first, each in the order of ids.
-/// While the store answers nobody, the first few go on.
+/// Returns the rank of `own` among the readers, from 0; `None` if it is not a reader. The first
+/// `READERS` of all serving gateways that are heard are the readers: those that the store answers
+/// come first. If the store answers nobody, the first ones by process remain readers.
 pub fn rank<'a>(own: Reader<'a>, others: impl Iterator<Item = Reader<'a>>) -> Option<usize> {
     let before = others.filter(|other| *other < own).take(READERS).count();
     (before < READERS).then_some(before)
 }
 
-/// Returns whether `own`, which is no reader, calls for those whose knowledge has grown old.
-/// They take turns, whatever their number, so the calls do not grow with it; those of one
-/// data centre, which may be cut off together, do not follow each other.
-fn stands_in<'a>(own: Reader<'a>, others: impl Iterator<Item = Reader<'a>>, span: u64) -> bool {
+/// Returns whether `own`, which is not a reader, makes the call of fallback interval number
+/// `interval`. One gateway calls in each interval, so the number of calls does not grow with the
+/// number of gateways. The order is by hash, so that gateways of one data centre, which may be cut
+/// off together, do not follow each other.
+fn is_fallback_reader<'a>(
+    own: Reader<'a>,
+    others: impl Iterator<Item = Reader<'a>>,
+    interval: u64,
+) -> bool {
     let mut all: Vec<Reader<'a>> = others.chain([own]).collect();
     all.sort_unstable();
     // The readers call anyway.
@@ -77,22 +87,24 @@
         candidates.retain(|c| !c.turned_away);
     }
     candidates.sort_by_cached_key(|c| prefix::hash(c.process.as_bytes()));
-    let turn = span as usize % candidates.len().max(1);
-    candidates.get(turn).is_some_and(|c| c.process == own.process)
+    let chosen = interval as usize % candidates.len().max(1);
+    candidates.get(chosen).is_some_and(|c| c.process == own.process)
 }
 
-/// What a gateway does about what it follows in the store.
+/// What a gateway does next about a table that it follows in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Turn {
-    /// It calls and waits for changes, until its next turn.
+    /// As a reader, calls and waits this long for changes; its next call follows then.
     Wait(Duration),
-    /// It calls for what there is, and looks again after this time.
+    /// In place of the readers, calls without waiting for changes, and decides again after this
+    /// time.
     StandIn(Duration),
-    /// It looks again after this time.
+    /// Makes no call, and decides again after this time.
     Later(Duration),
 }
 
-/// Returns what a gateway does whose knowledge is `age` old.
+/// Returns what a gateway does next whose knowledge of a table has the age `age`. `now` is the
+/// time by the store's clock.
 pub fn turn<'a, I: Iterator<Item = Reader<'a>>>(
     own: Reader<'a>,
     others: impl Fn() -> I,
@@ -100,26 +112,26 @@
     now: StoreMillis,
 ) -> Turn {
     if let Some(rank) = rank(own, others()) {
-        return Turn::Wait(until_turn(rank, now));
+        return Turn::Wait(until_next_call(rank, now));
     }
-    if age < STALE {
-        return Turn::Later(LOOK.min(STALE - age));
+    if age < FALLBACK_AGE {
+        return Turn::Later(RECHECK_INTERVAL.min(FALLBACK_AGE - age));
     }
-    let next_span = STAND_IN_PERIOD - Duration::from_millis(now % millis(STAND_IN_PERIOD));
-    match stands_in(own, others(), now / millis(STAND_IN_PERIOD)) {
-        true => Turn::StandIn(next_span),
-        false => Turn::Later(next_span),
+    let next_interval = FALLBACK_INTERVAL - Duration::from_millis(now % millis(FALLBACK_INTERVAL));
+    match is_fallback_reader(own, others(), now / millis(FALLBACK_INTERVAL)) {
+        true => Turn::StandIn(next_interval),
+        false => Turn::Later(next_interval),
     }
 }
 
-/// Returns the time until the next turn of a reader. The turns of all readers are evenly
-/// spread: readers that are answered together would otherwise wait, fail and come back
-/// together.
-fn until_turn(rank: usize, now: StoreMillis) -> Duration {
-    let period = millis(PERIOD);
-    let own = period * rank as u64 / READERS as u64;
-    let left = Duration::from_millis(period - (now + period - own) % period);
-    if left < SHORTEST_WAIT { left + PERIOD } else { left }
+/// Returns the time until the next call of the reader with this rank. The calls of all readers are
+/// evenly spread: readers that are answered at the same time would otherwise wait, time out and
+/// call again together.
+fn until_next_call(rank: usize, now: StoreMillis) -> Duration {
+    let interval = millis(READER_INTERVAL);
+    let own = interval * rank as u64 / READERS as u64;
+    let left = Duration::from_millis(interval - (now + interval - own) % interval);
+    if left < MIN_LONG_POLL { left + READER_INTERVAL } else { left }
 }
 
 fn millis(time: Duration) -> u64 {
--- a/src/gateway/decide/removal.rs
+++ b/src/gateway/decide/removal.rs
@@ -1,9 +1,9 @@
-//! Rows of upstreams that were removed while the store may have been away.
+//! Rows of upstreams that were removed while the store may have been unreachable.
 //!
-//! The upstream has left without a word, or has ended, or lives and its row lapsed because the
-//! store could not be reached. One that left gets requests for a second, and only those that no
-//! other takes. Rows that lapse go together: their upstreams serve until they have had time to
-//! write them again.
+//! Such an upstream has left without an announcement, has ended, or is still alive and its row
+//! lapsed because it could not reach the store. One that left gets requests for one more second,
+//! and only those that no other upstream takes. Rows that lapse do so together: their upstreams
+//! are used until they have had time to write their rows again.
 
 use std::time::Duration;
 
@@ -12,27 +12,27 @@
 use super::{StoreMillis, reading::CALL_SPACING};
 use crate::gateway::model::Revision;
 
-/// For how long after the store's return upstreams whose rows lapsed are used: they write
-/// them again within two seconds, less the time that a request takes to get there.
+/// Grace period after the store's return in which upstreams with lapsed rows are used. They write
+/// their rows again within two seconds; the time that a request takes to reach them is subtracted.
 const LAPSE_GRACE: Duration = Duration::from_millis(1_900);
 
-/// A removed row of an upstream that may serve on. What gateways know of the same removal
-/// merges in any order.
+/// The removal of a row whose upstream may still be alive. What gateways know of the same removal
+/// can be merged in any order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Removal {
     /// Revision of the store at which the row is gone.
     pub revision: Revision,
-    /// Moment at which the row was last known to be there, by the store's clock.
+    /// Latest moment at which the row is known to have existed, by the store's clock.
     pub last_seen: StoreMillis,
-    /// Moment by which the store answered again.
+    /// Earliest moment at which the store is known to have answered again, by its own clock.
     pub store_back: StoreMillis,
-    /// Whether other rows went with it that show that it lapsed.
+    /// Whether the rows that went missing with it show that it lapsed.
     pub lapsed: bool,
 }
 
 impl Removal {
-    /// Takes over what another gateway knows of the same removal; returns whether that
-    /// changed anything.
+    /// Merges what another gateway knows of the same removal; returns whether that changed
+    /// anything.
     pub fn merge(&mut self, other: Self) -> bool {
         let merged = Self {
             revision: self.revision.min(other.revision),
@@ -43,8 +43,9 @@
         std::mem::replace(self, merged) != merged
     }
 
-    /// Returns until when the upstream's row may come back. It counts from the first moment
-    /// at which the store can have been back, which is before anybody saw it.
+    /// Returns until when the row may come back, by the store's clock. The grace period starts at
+    /// the earliest moment at which the store can have returned, which may be up to one call
+    /// interval before any gateway saw it.
     pub fn expected_until(self) -> StoreMillis {
         let unseen = CALL_SPACING.as_millis() as StoreMillis;
         let back = self.last_seen.max(self.store_back.saturating_sub(unseen));
@@ -52,25 +53,26 @@
     }
 }
 
-/// How many rows there are, and how many of them are missing.
+/// Number of upstreams, and of missing rows among them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RowCount {
-    /// Upstreams that are known.
+    /// Upstreams that are known, including those whose rows are missing.
     pub known: usize,
-    /// Those among them whose rows are missing.
+    /// Known upstreams whose rows are missing.
     pub missing: usize,
 }
 
 impl RowCount {
-    /// Counts one more upstream.
+    /// Counts one more known upstream.
     pub fn add(&mut self, is_missing: bool) {
         self.known += 1;
         self.missing += usize::from(is_missing);
     }
 }
 
-/// Returns whether missing rows of a service have lapsed. A store that loses rows loses
-/// most of them, while upstreams that leave leave others behind.
+/// Returns whether the missing rows of a service have lapsed: more than half of all rows are
+/// missing, or all rows of the service. A store that loses rows loses most of them, while
+/// upstreams that leave do so a few at a time.
 pub fn have_lapsed(of_service: RowCount, of_all: RowCount) -> bool {
     2 * of_all.missing > of_all.known || of_service.missing == of_service.known
 }
