--- a/src/gateway/decide/rate_limit.rs
+++ b/src/gateway/decide/rate_limit.rs
@@ -30,7 +30,7 @@
 const LIMIT_END_REPORT_TIME: Duration = Duration::from_secs(12);
 /// Holders of a limit that a gateway may ask. Different gateways ask different holders.
 const MAX_HOLDERS_TO_ASK: usize = 4;
-/// Delay before a holder that did not answer, or that has no share, is asked again.
+/// Delay before a holder is asked again that did not answer, or has no share or no known limit.
 pub const GRANT_RETRY: Duration = Duration::from_secs(1);
 /// Shortest delay before a holder that denied a request is asked again.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
--- a/tests/gateway_freshness.rs
+++ b/tests/gateway_freshness.rs
@@ -1,32 +1,18 @@
-//! Confirmed changes after an outage of the store.
+//! How soon confirmed changes take effect after an outage of the store.
 //!
-//! What users saw: a configuration that had been confirmed was not in force 2.3 s later,
-//! and callers with new keys got 401 for 1.7 s more; a request reached an upstream more
-//! than two seconds after it had said that it leaves. Both were seconds after the store
-//! had come back.
+//! Guards against long polls that hide a lost connection. A pending long poll counted as proof that
+//! its reader was up to date, and the outcome of the last call as proof of whether the store
+//! answers. All three readers had been answered together, so their long polls also timed out
+//! together, within 90 ms, and started again 0.7 s before a silent store was back. They then waited
+//! 5.5 s on dead connections, while other calls of the same processes were answered several times a
+//! second. A configuration that was confirmed as soon as the store was back was not in force 2.3 s
+//! later, and callers with new keys got 401 for 1.7 s more.
 //!
-//! Order of events: the gateways that read the store for all are answered together, so
-//! their next calls begin together. The store falls silent; the calls end by timeout and
-//! begin again, still together, a moment before the store is back. The operator's change
-//! is confirmed at once.
-//!
-//! Cause, of the configuration: a call that waits for changes stood for what its reader
-//! knew, for as long as it waited, and the outcome of the last call said whether the store
-//! answers. All readers waited on connections that nobody read any more, each for 5.5 s,
-//! while the same processes were answered several times a second on other connections.
-//!
-//! Evidence: the calls of all three readers ended without an answer within 90 ms, 5.5 s
-//! after a moment at which the store was still silent and 0.7 s before it was back; no
-//! gateway had a newer configuration until the next calls, which brought all versions.
-//!
-//! Cause, of the upstream that leaves: the same, in the calls for the list of upstreams,
-//! which have phases of their own. It shows by chance: calls must have begun again just
-//! before the store is back, and an upstream leave within the seconds after.
-//!
-//! Evidence: the fault came in one of 13 plays of days with a silent store and upstreams
-//! that leave soon after. There the calls of all three readers for upstreams began 0.6 s
-//! before the store was back and ended 5.5 s later; the leaving, confirmed meanwhile, was
-//! known 1.96 s after it, and 41 requests came too late.
+//! The long polls for the list of upstreams had the same fault, at times of their own. It shows only
+//! if they start again just before the store is back and an upstream leaves within the next seconds:
+//! in one of 13 runs with a silent store and such an upstream. There the polls of all three readers
+//! started 0.6 s before the store was back, the gateways learnt 1.96 s late that the upstream was
+//! leaving, and 41 requests reached it more than two seconds after its announcement.
 
 mod support;
 
@@ -43,43 +29,51 @@
 };
 use tackhollow::time::unix_millis;
 
-/// Time after its confirmation within which a change must hold: the operators' bound of
-/// the smaller deployments, for configurations and for upstreams that leave.
+/// Time from its confirmation within which a change must take effect: the operators' bound for
+/// smaller deployments, for configurations and for upstreams that are leaving.
 const BOUND: Duration = Duration::from_secs(2);
-/// Gateways of a site.
+/// Gateways of the site.
 const GATEWAYS: usize = 4;
 
-/// What happens to the store before the change.
+/// Outage of the store before the change.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
     name: &'static str,
-    /// How the store answers meanwhile.
+    /// Mode of the emulated store in the outage.
     mode: &'static str,
-    /// For how long. Calls that wait last 1 to 6 s, so that some lengths end just after
-    /// calls have begun again.
-    lasts: Duration,
+    /// Length of the outage. Long polls take 1 to 6 s, so some outages end just after the polls
+    /// have started again.
+    duration: Duration,
 }
 
 const OUTAGES: [Outage; 6] = [
-    Outage { name: "connections fall silent", mode: "silent", lasts: Duration::ZERO },
-    Outage { name: "a second of silence", mode: "silent", lasts: Duration::from_millis(1_000) },
-    Outage { name: "silence", mode: "silent", lasts: Duration::from_millis(3_000) },
-    Outage { name: "a longer silence", mode: "silent", lasts: Duration::from_millis(6_400) },
-    Outage { name: "answers lost", mode: "losing", lasts: Duration::from_millis(6_400) },
-    Outage { name: "all refused", mode: "refusing", lasts: Duration::from_millis(3_000) },
+    Outage { name: "open connections fall silent", mode: "silent", duration: Duration::ZERO },
+    Outage { name: "a second of silence", mode: "silent", duration: Duration::from_millis(1_000) },
+    Outage {
+        name: "three seconds of silence",
+        mode: "silent",
+        duration: Duration::from_millis(3_000),
+    },
+    Outage { name: "a longer silence", mode: "silent", duration: Duration::from_millis(6_400) },
+    Outage { name: "answers are lost", mode: "losing", duration: Duration::from_millis(6_400) },
+    Outage {
+        name: "all calls are refused",
+        mode: "refusing",
+        duration: Duration::from_millis(3_000),
+    },
 ];
 
-/// Time in which calls that wait begin anew after a change.
-const SETTLED: Duration = Duration::from_millis(300);
+/// Time in which long polls start again after a change.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
 
-fn play(site: &Site, outage: Outage) {
-    thread::sleep(SETTLED);
+fn run_outage(site: &Site, outage: Outage) {
+    thread::sleep(SETTLE_TIME);
     site.store(outage.mode);
-    thread::sleep(outage.lasts);
+    thread::sleep(outage.duration);
     site.store("up");
 }
 
-fn versions(site: &Site) -> Vec<u64> {
+fn configuration_versions(site: &Site) -> Vec<u64> {
     let newest = |log: &[Value]| {
         let lines = log.iter().filter(|l| l["event"] == "configuration");
         lines.filter_map(|l| l["version"].as_u64()).max().unwrap_or_default()
@@ -95,38 +89,46 @@
     for outage in OUTAGES {
         version += 1;
         site.configure(&configuration(version));
-        wait_until("all gateways have it", || versions(&site).iter().all(|v| *v == version));
-        play(&site, outage);
+        wait_until("all gateways have the new configuration", || {
+            configuration_versions(&site).iter().all(|v| *v == version)
+        });
+        run_outage(&site, outage);
         version += 1;
         site.configure(&configuration(version));
         let confirmed = Instant::now();
-        wait_until("all gateways have it", || versions(&site).iter().all(|v| *v == version));
+        wait_until("all gateways have the new configuration", || {
+            configuration_versions(&site).iter().all(|v| *v == version)
+        });
         let after = confirmed.elapsed();
         if after > BOUND {
-            late.push(format!("{}: after {after:?}", outage.name));
+            late.push(format!("{}: in force after {after:?}", outage.name));
         }
     }
     assert!(late.is_empty(), "{late:#?}");
 }
 
 #[test]
-fn an_upstream_that_said_that_it_leaves_gets_nothing_after_an_outage() {
+fn an_upstream_that_is_leaving_gets_no_requests_after_an_outage() {
     let site = Site::start(GATEWAYS, 1, 0);
     let mut late = Vec::new();
     for (n, outage) in OUTAGES.into_iter().enumerate() {
-        // All gateways use it first, so that they have connections to it and prefer it.
+        // All gateways use the upstream first, so that they have connections to it and prefer it.
         let leaving = site.add_known_upstream("app");
-        site.send_calls(&format!("before-{n}"), SETTLED);
+        site.send_calls(&format!("before-{n}"), SETTLE_TIME);
         let staying = site.add_known_upstream("app");
-        play(&site, outage);
+        run_outage(&site, outage);
         site.control("/state", &json!({ "id": leaving, "state": "draining" }));
-        let said = site.now_ms();
+        let announced = site.now_ms();
         site.send_calls(&format!("after-{n}"), 3 * BOUND);
-        let after = Duration::from_millis(site.last_run(&leaving).saturating_sub(said));
+        let after = Duration::from_millis(site.last_run(&leaving).saturating_sub(announced));
         if after > BOUND {
-            late.push(format!("{}: reached after {after:?}", outage.name));
+            late.push(format!("{}: request {after:?} after the announcement", outage.name));
         }
-        assert!(site.last_run(&staying) > said, "{}: the other one is used", outage.name);
+        assert!(
+            site.last_run(&staying) > announced,
+            "{}: the other upstream got no request",
+            outage.name
+        );
         for id in [leaving, staying] {
             site.control("/remove", &json!({ "id": id }));
         }
@@ -134,8 +136,9 @@
     assert!(late.is_empty(), "{late:#?}");
 }
 
-/// Callers whose keys had just been added got 401 from gateways that could not know of them.
-/// A refusal for good is for those alone who know that they are up to date.
+/// Guards against permanent refusals by gateways that are not up to date: callers whose keys had
+/// just been added got 401 from gateways that could not know of the keys. Only a gateway that
+/// knows that it is up to date may refuse permanently.
 #[test]
 fn nobody_is_refused_for_good_on_old_knowledge() {
     struct Case {
@@ -145,75 +148,82 @@
     }
     let cases = [
         Case {
-            name: "a key that is not known",
+            name: "an unknown key",
             call: Call::new("GET", "/check/x", "key").header("x-key", "added-key"),
             status: StatusCode::UNAUTHORIZED,
         },
         Case {
-            name: "a route that is not known",
+            name: "an unknown route",
             call: Call::new("GET", "/added/x", "route"),
             status: StatusCode::NOT_FOUND,
         },
     ];
     let site = Site::start(2, 1, 1);
     let answers = |case: &Case| -> Vec<_> {
-        site.gateways.iter().map(|g| case.call.send(g.callers).expect("an answer")).collect()
+        site.gateways.iter().map(|g| case.call.send(g.callers).expect("a response")).collect()
     };
     for case in &cases {
-        assert!(answers(case).iter().all(|a| a.status == case.status), "{}: known", case.name);
+        assert!(
+            answers(case).iter().all(|a| a.status == case.status),
+            "{}: refused before the outage",
+            case.name
+        );
     }
     site.store("silent");
     for case in &cases {
         let name = case.name;
-        wait_until("nobody refuses it for good", || {
+        wait_until("all gateways refuse it temporarily", || {
             answers(case).iter().all(|a| a.status == StatusCode::SERVICE_UNAVAILABLE)
         });
-        let told = answers(case).iter().all(|a| !a.header("retry-after").is_empty());
-        assert!(told, "{name}: callers are told when to come back");
+        let have_retry_after = answers(case).iter().all(|a| !a.header("retry-after").is_empty());
+        assert!(have_retry_after, "{name}: refusals have retry-after");
     }
     let known = Call::new("GET", "/check/x", "known").send(site.gateways[0].callers);
-    assert_eq!(known.map(|a| a.status), Some(StatusCode::OK), "what is known is served");
+    assert_eq!(known.map(|a| a.status), Some(StatusCode::OK), "a known route is served");
     for gateway in &site.gateways {
-        wait_until("the log says that knowledge is old", || {
+        wait_until("the log has knowledge_old", || {
             gateway.log().iter().any(|l| l["event"] == "knowledge_old")
         });
-        assert!(gateway.metrics().contains("knowledge_age_seconds"), "a metric says so");
+        assert!(
+            gateway.metrics().contains("knowledge_age_seconds"),
+            "the metric knowledge_age_seconds is exported"
+        );
     }
     site.store("up");
     for case in &cases {
-        wait_until("it is refused for good again", || {
+        wait_until("it is refused permanently again", || {
             answers(case).iter().all(|a| a.status == case.status)
         });
     }
     for gateway in &site.gateways {
-        wait_until("the log says that it is fresh", || {
+        wait_until("the log has knowledge_fresh", || {
             gateway.log().iter().any(|l| l["event"] == "knowledge_fresh")
         });
     }
 }
 
-/// Prints how long each gateway took to learn of a configuration and of an upstream that
-/// leaves, from the confirmation on, and what it costs in calls. `FRESHNESS_GATEWAYS`: how
-/// many gateways.
+/// Prints how long gateways take from the confirmation to learn of a configuration and of an
+/// upstream that is leaving, and how many calls they make. `FRESHNESS_GATEWAYS` sets the number of
+/// gateways.
 #[test]
-#[ignore = "by hand: scripts/freshness"]
+#[ignore = "run by hand: scripts/freshness"]
 fn how_late_each_gateway_knows() {
     let count = env::var("FRESHNESS_GATEWAYS").ok().and_then(|v| v.parse().ok()).unwrap_or(7);
     let site = Site::start(count, 1, 1);
     let leaving = site.add_upstream("app");
-    let calls = |time: Duration| {
+    let call_rate = |time: Duration| {
         let before = site.seen()["store_calls"].as_u64().expect("a count");
         thread::sleep(time);
         let made = site.seen()["store_calls"].as_u64().expect("a count") - before;
         made as f64 / time.as_secs_f64()
     };
-    println!("{count} gateways; in calm {:.1} calls a second", calls(MEASURED));
-    let calm = Outage { name: "calm", mode: "up", lasts: Duration::ZERO };
+    println!("{count} gateways; {:.1} calls a second without an outage", call_rate(QUIET_TIME));
+    let none = Outage { name: "no outage", mode: "up", duration: Duration::ZERO };
     let mut version = 7;
-    for outage in [calm].into_iter().chain(OUTAGES) {
-        thread::sleep(MEASURED);
+    for outage in [none].into_iter().chain(OUTAGES) {
+        thread::sleep(QUIET_TIME);
         site.store(outage.mode);
-        let rate = calls(outage.lasts.max(SETTLED));
+        let rate = call_rate(outage.duration.max(SETTLE_TIME));
         site.store("up");
         version += 1;
         let confirmed = unix_millis();
@@ -223,21 +233,22 @@
         thread::sleep(2 * BOUND);
         let of_configuration = |l: &Value| l["event"] == "configuration" && l["version"] == version;
         let of_upstream = |l: &Value| l["upstream"] == leaving.as_str() && l["state"] == state;
-        let [told, seen] =
+        let [configuration, upstream] =
             [delays(&site, confirmed, &of_configuration), delays(&site, confirmed, &of_upstream)];
-        println!("{}: {rate:.1} calls a second meanwhile", outage.name);
-        for (what, delays) in [("configuration", &told), ("upstream", &seen)] {
-            let [first, middle, last] = [0, delays.len() / 2, delays.len() - 1].map(|i| delays[i]);
-            println!("  {what}: first {first}, median {middle}, last {last} ms");
+        println!("{}: {rate:.1} calls a second in the outage", outage.name);
+        for (what, delays) in [("configuration", &configuration), ("upstream", &upstream)] {
+            let [first, median, last] = [0, delays.len() / 2, delays.len() - 1].map(|i| delays[i]);
+            println!("  {what}: first {first}, median {median}, last {last} ms");
             assert!(last <= BOUND.as_millis() as u64, "{}: {what} after {last} ms", outage.name);
         }
     }
 }
 
-/// Time between outages, in which all is quiet.
-const MEASURED: Duration = Duration::from_secs(4);
+/// Time before each outage, in which nothing changes.
+const QUIET_TIME: Duration = Duration::from_secs(4);
 
-/// Returns for each gateway the milliseconds until its log has a line, in ascending order.
+/// Returns the milliseconds from `from` until the log of each gateway has a wanted line, in
+/// ascending order.
 fn delays(site: &Site, from: u64, wanted: &dyn Fn(&Value) -> bool) -> Vec<u64> {
     let first = |log: Vec<Value>| {
         let line = log.into_iter().rev().find(|l| wanted(l))?;
--- a/tests/gateway_leaving.rs
+++ b/tests/gateway_leaving.rs
@@ -1,14 +1,10 @@
-//! Upstreams that leave: until when they still get requests.
+//! Until when upstreams that are leaving still get requests.
 //!
-//! What users saw: a request reached an upstream more than two seconds after it had said
-//! that it leaves. The main cause is in `gateway_freshness`; these faults, found beside it,
-//! add to it.
-//!
-//! Cause: an upstream that has begun to leave gets requests that nobody else takes for one
-//! second. The second began when this process learnt of the leaving, and a process that
-//! learnt it a second late sent until two seconds after.
-//!
-//! Evidence: the cases below, which failed by as much as the knowledge was old.
+//! Guards against requests that reach an upstream more than two seconds after it announced that
+//! it is leaving. Such an upstream gets requests as a last resort for one second. That second
+//! used to start when the gateway learnt of the announcement, so a gateway that learnt of it a
+//! second late sent requests for two seconds. The main cause of late requests is covered by
+//! `gateway_freshness`.
 
 #[path = "support/upstreams.rs"]
 mod upstreams;
@@ -24,7 +20,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Returns what is known once the leaving is learnt `learnt` after the store was last seen.
+/// Returns a board that learns that the upstream is leaving `learnt` after it last saw the store.
 fn board(start: Instant, learnt: Duration) -> Board {
     let mut board = Board::new(TrueClock::new(start, 0), start);
     board.store_clock.note(5_000, start);
@@ -35,7 +31,7 @@
 }
 
 #[test]
-fn a_leaving_upstream_is_the_last_resort_for_a_second_from_when_it_may_have_said_so() {
+fn a_leaving_upstream_is_the_last_resort_for_a_second_from_its_earliest_possible_announcement() {
     struct Case {
         name: &'static str,
         learnt: Duration,
@@ -45,10 +41,10 @@
     let ms = Duration::from_millis;
     let cases = [
         Case { name: "learnt at once", learnt: ms(10), at: ms(900), taken: true },
-        Case { name: "learnt at once, over", learnt: ms(10), at: ms(1_000), taken: false },
+        Case { name: "learnt at once, second over", learnt: ms(10), at: ms(1_000), taken: false },
         Case { name: "learnt late", learnt: ms(700), at: ms(900), taken: true },
-        Case { name: "learnt late, over", learnt: ms(700), at: ms(1_100), taken: false },
-        Case { name: "learnt too late", learnt: ms(2_500), at: ms(2_500), taken: false },
+        Case { name: "learnt late, second over", learnt: ms(700), at: ms(1_100), taken: false },
+        Case { name: "learnt after the second", learnt: ms(2_500), at: ms(2_500), taken: false },
     ];
     let start = Instant::now();
     for case in cases {
@@ -58,25 +54,29 @@
     }
 }
 
-/// Between the choice of an upstream and the first byte to it a connection may have to be
-/// opened; what is learnt meanwhile counts.
+/// Between the choice of an upstream and the first byte sent to it, a connection may have to be
+/// opened. What the gateway learns in that time counts.
 #[test]
-fn a_request_is_sent_only_where_the_upstream_still_takes_it() {
+fn a_request_is_sent_only_if_the_chosen_upstream_still_takes_it() {
     struct Case {
         name: &'static str,
-        /// What it says of itself meanwhile, and how long ago; `None` if it is gone.
+        /// Description learnt meanwhile, with its age; `None` if the upstream is gone.
         learnt: Option<(Upstream, Duration)>,
         taken: bool,
     }
     let ready = || upstream(UpstreamPhase::Ready, 1);
     let leaving = || upstream(UpstreamPhase::Draining, 1);
-    let again = Upstream { born: Some(2), ..ready() };
+    let restarted = Upstream { born: Some(2), ..ready() };
     let cases = [
-        Case { name: "the same", learnt: Some((ready(), Duration::ZERO)), taken: true },
-        Case { name: "it leaves", learnt: Some((leaving(), Duration::ZERO)), taken: true },
-        Case { name: "it left a second ago", learnt: Some((leaving(), SECOND)), taken: false },
+        Case { name: "unchanged", learnt: Some((ready(), Duration::ZERO)), taken: true },
+        Case { name: "it is leaving", learnt: Some((leaving(), Duration::ZERO)), taken: true },
+        Case {
+            name: "it has been leaving for a second",
+            learnt: Some((leaving(), SECOND)),
+            taken: false,
+        },
         Case { name: "it is gone", learnt: None, taken: false },
-        Case { name: "it started again", learnt: Some((again, Duration::ZERO)), taken: false },
+        Case { name: "it has restarted", learnt: Some((restarted, Duration::ZERO)), taken: false },
     ];
     let start = Instant::now();
     for case in cases {
@@ -85,8 +85,8 @@
         let chosen = board.upstreams["i-1"].lifetime;
         let now = start + 3 * SECOND;
         match case.learnt {
-            Some((said, ago)) => {
-                board.describe(said, now - ago);
+            Some((described, age)) => {
+                board.describe(described, now - age);
             }
             None => board.upstreams.clear(),
         }
--- a/tests/gateway_rate_limits.rs
+++ b/tests/gateway_rate_limits.rs
@@ -1,7 +1,7 @@
-//! Upstreams that name a rate limit in their answers.
+//! Upstreams that announce a rate limit in their responses.
 //!
-//! What users saw: an upstream that took one request a second from all gateways together got
-//! twelve in four seconds.
+//! Guards against gateways that each use the whole limit: an upstream that took one request a
+//! second from all gateways together got twelve in four seconds.
 
 mod support;
 
@@ -14,21 +14,22 @@
     signals::{HOLDS_AFTER, arrivals, borne, call, keep_calling, most_in_a_span},
 };
 
-/// For how long a limit is named.
-const NAMED: Duration = Duration::from_secs(9);
+/// How long a limit is announced.
+const ANNOUNCED_FOR: Duration = Duration::from_secs(9);
+
 struct Case {
     name: &'static str,
     gateways: usize,
     upstreams: usize,
-    /// Upstreams that name a limit.
+    /// Upstreams that announce a limit.
     limited: usize,
     rate: f64,
     streams: bool,
     /// Whether most callers must be served all the same.
-    served: bool,
+    must_serve: bool,
 }
 
-fn play(case: &Case) {
+fn check(case: &Case) {
     let (engines, plain) = if case.streams { (case.upstreams, 0) } else { (0, case.upstreams) };
     let site = Site::start(case.gateways, engines, plain);
     let limited: Vec<String> = (1..=case.limited).map(|n| format!("i-{n}")).collect();
@@ -36,78 +37,86 @@
         site.signal(id, &[("server-limit", &case.rate.to_string())]);
     }
     let from = site.emulator_now();
-    let got = keep_calling(&site, 1, case.streams, || thread::sleep(NAMED));
+    let got = keep_calling(&site, 1, case.streams, || thread::sleep(ANNOUNCED_FOR));
     let seen = site.seen();
     for id in &limited {
         let arrivals = arrivals(&seen, id);
         let most = most_in_a_span(&arrivals, from + HOLDS_AFTER, Duration::MAX);
-        let (name, borne) = (case.name, borne(case.rate));
-        assert!(most <= borne, "{name}: {id} got {most} requests in a span, {borne} are borne");
+        let (name, tolerated) = (case.name, borne(case.rate));
+        assert!(
+            most <= tolerated,
+            "{name}: {id} got {most} requests in a window, {tolerated} are tolerated"
+        );
         let taken = arrivals.iter().filter(|a| a.at >= from + HOLDS_AFTER).count() as f64;
-        let offered = case.rate * (NAMED - HOLDS_AFTER).as_secs_f64();
+        let offered = case.rate * (ANNOUNCED_FOR - HOLDS_AFTER).as_secs_f64();
         let is_needed = case.limited == case.upstreams;
-        let used = !is_needed || taken >= offered / 2.0;
-        assert!(used, "{name}: {id} got {taken} of {offered} that it takes");
+        let is_used = !is_needed || taken >= offered / 2.0;
+        assert!(is_used, "{name}: {id} got {taken} of the {offered} requests that it takes");
     }
     let (sent, served) = (got.len(), got.iter().filter(|g| g.is_served()).count());
-    assert!(!case.served || served * 100 >= sent * 95, "{}: {served} of {sent}", case.name);
+    assert!(
+        !case.must_serve || served * 100 >= sent * 95,
+        "{}: {served} of {sent} served",
+        case.name
+    );
 }
 
 #[test]
-fn an_upstream_gets_no_more_than_it_takes_from_all_gateways_together() {
-    play(&Case {
+fn a_limit_holds_for_all_gateways_together() {
+    check(&Case {
         name: "one of two",
         gateways: 4,
         upstreams: 2,
         limited: 1,
         rate: 1.0,
         streams: false,
-        served: true,
+        must_serve: true,
     });
 }
 
 #[test]
-fn a_limit_holds_for_streams_and_where_all_upstreams_have_one() {
-    play(&Case {
+fn a_limit_holds_for_streams_and_if_all_upstreams_have_one() {
+    check(&Case {
         name: "all of two",
         gateways: 4,
         upstreams: 2,
         limited: 2,
         rate: 2.0,
         streams: true,
-        served: false,
+        must_serve: false,
     });
 }
 
 #[test]
-fn callers_of_gateways_without_a_part_of_a_limit_get_their_share() {
-    play_shares(&Site::start(4, 0, 1));
+fn callers_of_gateways_without_a_share_are_served() {
+    check_callers_of_all_gateways(&Site::start(4, 0, 1));
 }
 
 #[test]
-fn callers_of_gateways_without_a_part_get_their_share_beside_an_upstream_that_leaves() {
+fn callers_of_gateways_without_a_share_are_served_if_another_upstream_is_leaving() {
     let site = Site::start(4, 0, 2);
     site.control("/state", &json!({ "id": "i-2", "state": "draining" }));
     thread::sleep(Duration::from_secs(2));
-    play_shares(&site);
+    check_callers_of_all_gateways(&site);
 }
 
-/// Two of four gateways have a part of the limit of the only upstream that takes work.
-fn play_shares(site: &Site) {
+/// Checks that callers of all four gateways are served, of which two hold a share of the limit of
+/// the only upstream that takes work.
+fn check_callers_of_all_gateways(site: &Site) {
     const RATE: f64 = 1.0;
     site.signal("i-1", &[("server-limit", "1")]);
     let from = site.emulator_now();
     let first = call(false, 0).send(site.gateways[0].callers);
-    assert!(first.is_some_and(|a| a.status == StatusCode::OK), "it names its limit");
+    assert!(first.is_some_and(|a| a.status == StatusCode::OK), "the response announces the limit");
     thread::sleep(HOLDS_AFTER);
-    let got = keep_calling(site, 1, false, || thread::sleep(2 * NAMED));
+    let got = keep_calling(site, 1, false, || thread::sleep(2 * ANNOUNCED_FOR));
     let of_gateway = |n| got.iter().filter(|g| g.gateway == n && g.is_served()).count();
     let served: Vec<usize> = (0..site.gateways.len()).map(of_gateway).collect();
-    assert!(served.iter().all(|served| *served > 0), "served by gateway: {served:?}");
+    assert!(served.iter().all(|served| *served > 0), "requests served by each gateway: {served:?}");
     let arrivals = arrivals(&site.seen(), "i-1");
     let most = most_in_a_span(&arrivals, from + HOLDS_AFTER, Duration::MAX);
-    assert!(most <= borne(RATE), "{most} requests in a span, {} are borne", borne(RATE));
-    let offered = RATE * 2.0 * NAMED.as_secs_f64();
+    assert!(most <= borne(RATE), "{most} requests in a window, {} are tolerated", borne(RATE));
+    let offered = RATE * 2.0 * ANNOUNCED_FOR.as_secs_f64();
     let all: usize = served.iter().sum();
-    assert!(all as f64 >= offered * 0.7, "{all} of {offered} that it takes");
+    assert!(all as f64 >= offered * 0.7, "{all} of the {offered} requests that it takes");
 }
--- a/tests/gateway_reading.rs
+++ b/tests/gateway_reading.rs
@@ -1,5 +1,5 @@
-//! Which gateways call the platform's store for changes and when, through outages of every
-//! kind and length: how late a confirmed change is known everywhere, and what it costs.
+//! Which gateways call the platform's store for changes, and when, through outages of different
+//! kinds and lengths: how late all gateways know a confirmed change, and how many calls it takes.
 
 #[path = "readers/mod.rs"]
 mod readers;
@@ -10,40 +10,41 @@
 use readers::{Outages, Plan, World};
 use tackhollow::gateway::decide::{Backoff, READERS, Reader, rank};
 
-/// Gateways: a small site, a grown one, a large one; each with the outages that are drawn.
+/// Number of gateways, and number of seeds that are simulated with it.
 const SIZES: [(usize, u64); 3] = [(7, 400), (77, 40), (195, 12)];
-/// Time within which a confirmed change is known everywhere, whatever the store has gone
-/// through before: half of the operators' bound.
-const AIM: u64 = 1_000;
-/// The same where every gateway that reads the store is lost at that moment: the
-/// operators' bound.
-const BOUND: u64 = 2_000;
-/// Calls a second on one table by the readers, and by others while knowledge is old.
-const READ: f64 = 2.0;
-const STAND_IN: f64 = 2.5;
-/// Seconds after which readers that are not answered are known to be, and replaced.
-const REPLACED_AFTER: u64 = 3;
-/// Longest outage that is drawn.
-const LONGEST: u64 = 9_000;
+/// Time within which all gateways know a confirmed change, whatever outage of the store came
+/// before, in milliseconds: half of the operators' bound.
+const TARGET_MS: u64 = 1_000;
+/// The same if all readers, or a third of the gateways, fail at that moment: the operators' bound.
+const BOUND_MS: u64 = 2_000;
+/// Calls a second on one table by the readers.
+const READER_RATE: f64 = 2.0;
+/// Calls a second on one table by other gateways while their knowledge is old.
+const FALLBACK_RATE: f64 = 2.5;
+/// Time after which readers that the store does not answer are known as such and replaced, in
+/// seconds.
+const REPLACED_AFTER_S: u64 = 3;
+/// Upper bound of the length of an outage, in milliseconds.
+const MAX_OUTAGE_MS: u64 = 9_000;
 
-/// What happens beside the outage of the store.
+/// Failure of gateways in addition to the outage of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Beside {
-    Nothing,
-    /// One of the readers is killed, cut off or frozen.
+enum GatewayFailure {
+    None,
+    /// One of the readers is killed, cut off from the store or frozen.
     OneReader,
-    /// All of the readers are cut off from the store.
+    /// All readers are cut off from the store.
     AllReaders,
-    /// All of the readers are killed.
-    ReadersDie,
-    /// A third of the gateways is cut off from the store, readers or not.
-    AThird,
+    /// All readers are killed.
+    ReadersKilled,
+    /// A third of the gateways, readers or not, is cut off from the store.
+    OneThird,
 }
 
-/// Draws a world in which a change is confirmed at the returned moment.
-fn draw(rng: &mut fastrand::Rng, gateways: usize, beside: Beside) -> (World, u64) {
+/// Generates a world; returns it with the time at which a change is confirmed in it.
+fn generate(rng: &mut fastrand::Rng, gateways: usize, failure: GatewayFailure) -> (World, u64) {
     let begins = 2_000 + rng.u64(..1_500);
-    let back = begins + if rng.bool() { rng.u64(..LONGEST) } else { 0 };
+    let back = begins + if rng.bool() { rng.u64(..MAX_OUTAGE_MS) } else { 0 };
     let confirmed = back + rng.u64(..1_000);
     let mut outages = Outages::default();
     match rng.u8(..3) {
@@ -52,29 +53,29 @@
         _ => outages.silent.extend([begins..begins, begins + 300..back.max(begins + 300)]),
     }
     let until = confirmed + 3_000;
-    // Close to the change: earlier than that, the others have noticed it.
-    let at = confirmed - rng.u64(..500).min(confirmed);
+    // Gateways fail shortly before the change: the others would have noticed an earlier failure.
+    let failed_at = confirmed - rng.u64(..500).min(confirmed);
     let mut plans = vec![Plan::default(); gateways];
-    let cut = Plan { cut: Some(at..until), ..Plan::default() };
-    let dead = Plan { dies: Some(at), ..Plan::default() };
-    let frozen = Plan { frozen: Some(at..until), ..Plan::default() };
-    match beside {
-        Beside::Nothing => {}
-        Beside::OneReader => {
+    let cut = Plan { cut: Some(failed_at..until), ..Plan::default() };
+    let dead = Plan { dies: Some(failed_at), ..Plan::default() };
+    let frozen = Plan { frozen: Some(failed_at..until), ..Plan::default() };
+    match failure {
+        GatewayFailure::None => {}
+        GatewayFailure::OneReader => {
             plans[rng.usize(..READERS)] = [cut, dead, frozen][rng.usize(..3)].clone();
         }
-        Beside::AllReaders => plans[..READERS].fill(cut),
-        Beside::ReadersDie => plans[..READERS].fill(dead),
-        Beside::AThird => {
+        GatewayFailure::AllReaders => plans[..READERS].fill(cut),
+        GatewayFailure::ReadersKilled => plans[..READERS].fill(dead),
+        GatewayFailure::OneThird => {
             (0..gateways).filter(|i| i % 3 == 0).for_each(|i| plans[i] = cut.clone());
         }
     }
-    // One that was confirmed before the outage, so that calls begin anew together.
+    // The first change is confirmed before the outage, so that all readers call again together.
     let changes = vec![begins - rng.u64(..500), confirmed];
     (World::new(rng.u64(..), plans, outages, changes), confirmed)
 }
 
-/// Returns the latest moment at which a gateway that lives knew, after the confirmation.
+/// Returns the time from the confirmation until the last living gateway knew the change.
 fn latest(world: &mut World, confirmed: u64, gateways: usize) -> u64 {
     let knew = world.play(confirmed + 3_000);
     let living = (0..gateways).filter(|i| world.lives(*i));
@@ -83,87 +84,103 @@
 }
 
 #[test]
-fn a_confirmed_change_is_known_everywhere_in_time() {
+fn a_confirmed_change_is_known_to_all_gateways_in_time() {
     struct Case {
-        beside: Beside,
+        failure: GatewayFailure,
         within: u64,
     }
     let cases = [
-        Case { beside: Beside::Nothing, within: AIM },
-        Case { beside: Beside::OneReader, within: AIM },
-        Case { beside: Beside::AThird, within: BOUND },
-        Case { beside: Beside::AllReaders, within: BOUND },
-        Case { beside: Beside::ReadersDie, within: BOUND },
+        Case { failure: GatewayFailure::None, within: TARGET_MS },
+        Case { failure: GatewayFailure::OneReader, within: TARGET_MS },
+        Case { failure: GatewayFailure::OneThird, within: BOUND_MS },
+        Case { failure: GatewayFailure::AllReaders, within: BOUND_MS },
+        Case { failure: GatewayFailure::ReadersKilled, within: BOUND_MS },
     ];
     let mut late = Vec::new();
     for case in cases {
-        for (gateways, drawn) in SIZES {
+        for (gateways, seeds) in SIZES {
             let mut worst = 0;
-            for seed in 0..drawn {
+            for seed in 0..seeds {
                 let mut rng = fastrand::Rng::with_seed(seed);
-                let (mut world, confirmed) = draw(&mut rng, gateways, case.beside);
-                // A frozen one cannot know, and is not in touch.
-                let after = match case.beside {
-                    Beside::OneReader => latest_of_calm(&mut world, confirmed, gateways),
+                let (mut world, confirmed) = generate(&mut rng, gateways, case.failure);
+                // A frozen gateway cannot learn anything.
+                let after = match case.failure {
+                    GatewayFailure::OneReader => {
+                        latest_of_non_readers(&mut world, confirmed, gateways)
+                    }
                     _ => latest(&mut world, confirmed, gateways),
                 };
                 worst = worst.max(after);
                 if after > case.within {
-                    late.push(format!("{gateways}, {:?}, seed {seed}: {after} ms", case.beside));
+                    late.push(format!(
+                        "{gateways} gateways, {:?}, seed {seed}: {after} ms",
+                        case.failure
+                    ));
                 }
             }
-            println!("{gateways} gateways, {:?}: {worst} ms at most", case.beside);
+            println!("{gateways} gateways, {:?}: {worst} ms at most", case.failure);
         }
     }
-    assert!(late.is_empty(), "{} late:\n{}", late.len(), late.join("\n"));
+    assert!(late.is_empty(), "{} cases too late:\n{}", late.len(), late.join("\n"));
 }
 
-/// As [`latest`], without the gateways that may have been frozen.
-fn latest_of_calm(world: &mut World, confirmed: u64, gateways: usize) -> u64 {
+/// As [`latest`], without the readers, one of which may be frozen.
+fn latest_of_non_readers(world: &mut World, confirmed: u64, gateways: usize) -> u64 {
     let knew = world.play(confirmed + 3_000);
     let known = (READERS..gateways).map(|i| knew[i].unwrap_or(u64::MAX));
     known.max().map_or(0, |t| t.saturating_sub(confirmed))
 }
 
 #[test]
-fn nobody_takes_its_knowledge_for_newer_than_it_is() {
-    for (gateways, drawn) in SIZES {
-        for seed in 0..drawn.min(20) {
+fn the_estimated_age_of_knowledge_matches_its_true_age() {
+    for (gateways, seeds) in SIZES {
+        for seed in 0..seeds.min(20) {
             let mut rng = fastrand::Rng::with_seed(seed);
-            let (mut world, confirmed) = draw(&mut rng, gateways, Beside::AThird);
+            let (mut world, confirmed) = generate(&mut rng, gateways, GatewayFailure::OneThird);
             for until in (0..confirmed).step_by(500) {
                 world.play(until);
                 for i in 0..gateways {
                     let (believed, truth) = world.ages(i);
-                    // Readings of the clock are as old as their way.
-                    let way = Duration::from_millis(20);
-                    assert!(believed + way >= truth, "{gateways}, {seed}: {believed:?} {truth:?}");
-                    assert!(believed <= truth + way, "{gateways}, {seed}: {believed:?} {truth:?}");
+                    // Clock readings are as old as their transmission took.
+                    let transmission = Duration::from_millis(20);
+                    assert!(
+                        believed + transmission >= truth,
+                        "{gateways} gateways, seed {seed}: {believed:?}, true age {truth:?}"
+                    );
+                    assert!(
+                        believed <= truth + transmission,
+                        "{gateways} gateways, seed {seed}: {believed:?}, true age {truth:?}"
+                    );
                 }
             }
         }
     }
 }
 
-/// Calls on one table in nine seconds. Flat in the number of gateways: each call is paid for.
+/// Counts the calls on one table in nine seconds. Each call is billed, so their number must not
+/// depend on the number of gateways.
 #[test]
 fn calls_do_not_grow_with_the_gateways() {
     struct Case {
         name: &'static str,
-        is_away: fn(usize) -> bool,
-        /// Calls a second, beside one of each reader.
+        is_cut: fn(usize) -> bool,
+        /// Calls a second, without the first call of each reader.
         rate: f64,
     }
     let cases = [
-        Case { name: "none away", is_away: |_| false, rate: READ },
-        Case { name: "a third away", is_away: |i| i % 3 == 0, rate: READ + STAND_IN },
-        Case { name: "the readers away", is_away: |i| i < READERS, rate: READ + STAND_IN },
-        Case { name: "all away", is_away: |_| true, rate: READ + STAND_IN },
+        Case { name: "none cut off", is_cut: |_| false, rate: READER_RATE },
+        Case { name: "a third cut off", is_cut: |i| i % 3 == 0, rate: READER_RATE + FALLBACK_RATE },
+        Case {
+            name: "the readers cut off",
+            is_cut: |i| i < READERS,
+            rate: READER_RATE + FALLBACK_RATE,
+        },
+        Case { name: "all cut off", is_cut: |_| true, rate: READER_RATE + FALLBACK_RATE },
     ];
     let seconds = 9;
     for case in cases {
         for (gateways, _) in SIZES {
-            let plan = |i| match (case.is_away)(i) {
+            let plan = |i| match (case.is_cut)(i) {
                 true => Plan { cut: Some(0..seconds * 1_000), ..Plan::default() },
                 false => Plan::default(),
             };
@@ -171,44 +188,52 @@
             let mut world = World::new(7, plans, Outages::default(), Vec::new());
             world.play(seconds * 1_000);
             let calls = world.calls as f64;
-            println!("{} of {gateways}: {calls} calls", case.name);
-            // Those that read first, and those that replace them, begin with a call each.
-            let begin = READERS as u64 * (1 + seconds / REPLACED_AFTER);
-            let most = case.rate * seconds as f64 + begin as f64;
-            assert!(calls <= most, "{} of {gateways}: {calls} calls, {most} at most", case.name);
-            assert!(calls >= READ * (seconds - 1) as f64, "{} of {gateways}: too few", case.name);
+            println!("{}, {gateways} gateways: {calls} calls", case.name);
+            // The first readers, and those that replace them, start with one call each.
+            let first_calls = READERS as u64 * (1 + seconds / REPLACED_AFTER_S);
+            let most = case.rate * seconds as f64 + first_calls as f64;
+            assert!(
+                calls <= most,
+                "{}, {gateways} gateways: {calls} calls, {most} at most",
+                case.name
+            );
+            assert!(
+                calls >= READER_RATE * (seconds - 1) as f64,
+                "{}, {gateways} gateways: too few calls",
+                case.name
+            );
         }
     }
 }
 
 #[test]
-fn pauses_grow_with_each_failure_and_begin_anew() {
+fn backoff_grows_with_each_failure_and_resets() {
     let mut backoff = Backoff::default();
-    let pauses: Vec<u128> = (0..5).map(|_| backoff.failed(0.0).as_millis()).collect();
-    assert_eq!(pauses, [300, 600, 1_000, 1_000, 1_000]);
+    let delays: Vec<u128> = (0..5).map(|_| backoff.failed(0.0).as_millis()).collect();
+    assert_eq!(delays, [300, 600, 1_000, 1_000, 1_000]);
     backoff.answered();
-    assert_eq!(backoff.failed(1.0).as_millis(), 180, "a part is left to chance");
+    assert_eq!(backoff.failed(1.0).as_millis(), 180, "delays have jitter");
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Whoever is turned away: a few read, and never one that is turned away while
-    /// enough others are not.
+    /// Checks that the right number of gateways are readers, and that none of them is one that the
+    /// store does not answer while it answers enough others.
     #[test]
-    fn a_few_read_the_store(turned_away in prop::collection::vec(any::<bool>(), 1..100)) {
-        let ids: Vec<String> = (0..turned_away.len()).map(|i| format!("p{i:03}")).collect();
-        let readers: Vec<Reader<'_>> = ids.iter().zip(&turned_away)
+    fn a_bounded_number_of_gateways_reads_the_store(unanswered in prop::collection::vec(any::<bool>(), 1..100)) {
+        let ids: Vec<String> = (0..unanswered.len()).map(|i| format!("p{i:03}")).collect();
+        let readers: Vec<Reader<'_>> = ids.iter().zip(&unanswered)
             .map(|(process, turned_away)| Reader { turned_away: *turned_away, process })
             .collect();
-        let place = |own: &Reader<'_>| rank(*own, readers.iter().copied().filter(|r| r != own));
-        let reading: Vec<&Reader<'_>> = readers.iter().filter(|own| place(own).is_some()).collect();
+        let rank_of = |own: &Reader<'_>| rank(*own, readers.iter().copied().filter(|r| r != own));
+        let reading: Vec<&Reader<'_>> = readers.iter().filter(|own| rank_of(own).is_some()).collect();
         prop_assert_eq!(reading.len(), readers.len().min(READERS));
-        if turned_away.iter().filter(|away| !**away).count() >= READERS {
+        if unanswered.iter().filter(|unanswered| !**unanswered).count() >= READERS {
             prop_assert!(reading.iter().all(|r| !r.turned_away));
         }
-        let mut places: Vec<usize> = readers.iter().filter_map(place).collect();
-        places.sort_unstable();
-        prop_assert_eq!(places, (0..reading.len()).collect::<Vec<_>>(), "each its own place");
+        let mut ranks: Vec<usize> = readers.iter().filter_map(rank_of).collect();
+        ranks.sort_unstable();
+        prop_assert_eq!(ranks, (0..reading.len()).collect::<Vec<_>>(), "each reader has its own rank");
     }
 }
--- a/tests/gateway_removal_facts.rs
+++ b/tests/gateway_removal_facts.rs
@@ -1,4 +1,5 @@
-//! What is known of removed rows: how it merges, how long it counts, and what it decides.
+//! Removed rows of upstreams: how knowledge of a removal merges, how long it counts, and which
+//! upstreams it excludes from requests.
 
 #[path = "support/upstreams.rs"]
 mod upstreams;
@@ -17,7 +18,7 @@
 };
 use upstreams::upstream;
 
-/// What the store's clock shows at the begin of a case.
+/// Time of the store's clock at the start of a case, in milliseconds.
 const STORE_START: u64 = 50_000;
 
 const fn ms(ms: u64) -> Duration {
@@ -25,7 +26,7 @@
 }
 
 #[test]
-fn rows_have_lapsed_if_most_went_or_none_of_their_service_is_left() {
+fn rows_have_lapsed_if_most_rows_or_all_of_a_service_are_missing() {
     struct Case {
         name: &'static str,
         of_service: RowCount,
@@ -53,16 +54,16 @@
 }
 
 #[test]
-fn what_gateways_know_of_a_removal_merges_in_any_order() {
-    let facts = [
+fn knowledge_of_a_removal_merges_in_any_order() {
+    let reports = [
         Removal { revision: 7, last_seen: 100, store_back: 900, lapsed: false },
         Removal { revision: 9, last_seen: 400, store_back: 950, lapsed: true },
         Removal { revision: 8, last_seen: 300, store_back: 700, lapsed: false },
     ];
     let merged = |order: [usize; 4]| {
-        let mut removal = facts[order[0]];
+        let mut removal = reports[order[0]];
         for i in order {
-            removal.merge(facts[i]);
+            removal.merge(reports[i]);
         }
         removal
     };
@@ -72,10 +73,10 @@
     }
 }
 
-/// An upstream that leaves serves on for two seconds from the store's word, so what is sent
-/// to it must not count from any later moment.
+/// An upstream that leaves serves for two more seconds from the removal of its row, so the time in
+/// which it is used must not be counted from any later moment.
 #[test]
-fn a_removed_row_is_expected_back_from_the_first_moment_of_the_stores_return() {
+fn the_grace_period_starts_at_the_earliest_possible_return_of_the_store() {
     struct Case {
         name: &'static str,
         last_seen: u64,
@@ -83,10 +84,20 @@
         until: u64,
     }
     let cases = [
-        Case { name: "known just before", last_seen: 9_900, store_back: 10_000, until: 11_800 },
-        Case { name: "known before a call", last_seen: 9_500, store_back: 10_000, until: 11_400 },
+        Case {
+            name: "row seen just before the return",
+            last_seen: 9_900,
+            store_back: 10_000,
+            until: 11_800,
+        },
+        Case {
+            name: "row seen one call interval before the return",
+            last_seen: 9_500,
+            store_back: 10_000,
+            until: 11_400,
+        },
         Case { name: "a long outage", last_seen: 2_000, store_back: 10_000, until: 11_400 },
-        Case { name: "never known", last_seen: 0, store_back: 100, until: 1_900 },
+        Case { name: "row never seen", last_seen: 0, store_back: 100, until: 1_900 },
     ];
     for Case { name, last_seen, store_back, until } in cases {
         let removal = Removal { revision: 3, last_seen, store_back, lapsed: true };
@@ -94,7 +105,8 @@
     }
 }
 
-/// Returns a board that knows so many upstreams of two services since `known_ago`.
+/// Returns a board with the upstreams of two services, last known to be current `known_ago` before
+/// `start`.
 fn board(start: Instant, known_ago: Duration) -> Board {
     let mut board = Board::new(TrueClock::new(start, 0), start);
     board.store_clock.note(STORE_START, start);
@@ -112,7 +124,7 @@
 }
 
 #[test]
-fn an_upstream_whose_row_is_removed_goes_last_unless_its_row_lapsed() {
+fn an_upstream_whose_row_is_removed_is_a_last_resort_unless_the_row_lapsed() {
     struct Case {
         name: &'static str,
         removed: &'static [&'static str],
@@ -177,9 +189,10 @@
     }
 }
 
-/// The excuse began anew at each gateway that heard of a removal, and with each message.
+/// Guards against a grace period that starts anew at each gateway that learns of a removal, and
+/// with each message about it.
 #[test]
-fn hearing_again_of_a_removal_excuses_it_no_longer() {
+fn repeated_reports_of_a_removal_do_not_extend_the_grace_period() {
     let start = Instant::now();
     let mut board = board(start, ms(600));
     let removal = Removal { revision: 6, last_seen: 49_400, store_back: 49_800, lapsed: true };
@@ -189,16 +202,16 @@
     let first = until(&board);
     assert_eq!(first, start + ms(1_300));
     for later in [ms(300), ms(900)] {
-        let told = Removal { store_back: removal.store_back + 400, ..removal };
-        assert_eq!(board.note_missing(&id, told, start + later), Noted::Known);
-        assert_eq!(until(&board), first, "heard {later:?} later");
+        let reported = Removal { store_back: removal.store_back + 400, ..removal };
+        assert_eq!(board.note_missing(&id, reported, start + later), Noted::Known);
+        assert_eq!(until(&board), first, "reported {later:?} later");
     }
 }
 
-/// Requests for one side of a roll-out were refused while all its upstreams left, though those
-/// of the other side served.
+/// Guards against refusals of requests for one side of a roll-out, all of whose upstreams are
+/// leaving, while upstreams of the other side take work.
 #[test]
-fn a_side_of_a_rollout_whose_upstreams_all_leave_is_served_by_the_other() {
+fn a_rollout_side_without_upstreams_that_take_work_is_served_by_the_other_side() {
     struct Case {
         name: &'static str,
         /// Upstreams of the earlier version that take work.
@@ -207,10 +220,15 @@
         versions: &'static [&'static str],
     }
     let cases = [
-        Case { name: "all there", earlier_ready: 2, side: Side::Earlier, versions: &["v1"] },
-        Case { name: "one leaves", earlier_ready: 1, side: Side::Earlier, versions: &["v1"] },
-        Case { name: "all leave", earlier_ready: 0, side: Side::Earlier, versions: &["v2"] },
-        Case { name: "the new side", earlier_ready: 0, side: Side::New, versions: &["v2"] },
+        Case { name: "both take work", earlier_ready: 2, side: Side::Earlier, versions: &["v1"] },
+        Case { name: "one is leaving", earlier_ready: 1, side: Side::Earlier, versions: &["v1"] },
+        Case { name: "all are leaving", earlier_ready: 0, side: Side::Earlier, versions: &["v2"] },
+        Case {
+            name: "requests for the new version",
+            earlier_ready: 0,
+            side: Side::New,
+            versions: &["v2"],
+        },
     ];
     let terms = ExposureTerms { share: 0.1, slack: 50.0 };
     for case in cases {
--- a/tests/gateway_removals.rs
+++ b/tests/gateway_removals.rs
@@ -1,5 +1,6 @@
-//! Upstreams whose rows disappear around an outage of the store. Some of them leave without
-//! a word, and get no request after the bound; others live, and their rows only lapsed.
+//! Upstreams whose rows disappear around an outage of the store. Those that left without an
+//! announcement must get no request after the bound. Those that live, and whose rows only lapsed,
+//! must still be used.
 
 #[expect(dead_code, reason = "the soak uses the rest of it")]
 #[path = "soak/proxy.rs"]
@@ -12,40 +13,40 @@
 use serde_json::json;
 use support::gateways::{Site, configuration};
 
-/// Time after the removal of its row in which an upstream that leaves may get requests.
+/// Time after the removal of its row in which an upstream that left may get requests.
 const BOUND: Duration = Duration::from_secs(2);
-/// Gateways of a site.
+/// Gateways of the site.
 const GATEWAYS: usize = 4;
-/// Upstreams that stay.
+/// Upstreams that do not leave.
 const STAYING: usize = 3;
 
-/// What a request takes at an upstream that stays.
+/// Processing time of a request at an upstream that does not leave.
 const WORK: Duration = ms(30);
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// How the store fails gateways, while upstreams and the operator reach it.
+/// An outage of the store for gateways; upstreams and the operator still reach the store.
 #[derive(Clone, Copy, Debug)]
 struct Outage {
-    /// How their calls end.
+    /// How the calls of these gateways fail.
     kind: Kind,
-    /// How many gateways it fails.
+    /// Number of gateways that cannot reach the store.
     gateways: usize,
-    /// For how long.
-    lasts: Duration,
+    /// Length of the outage.
+    duration: Duration,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Kind {
-    /// No answer comes, and connections of before are reset at the end.
+    /// Calls get no answer, and existing connections are reset at the end of the outage.
     Silent,
-    /// Each call is refused.
+    /// Calls are refused at once.
     Refusing,
 }
 
-/// Gateways that reach the store each by a link of its own.
+/// A site whose gateways each reach the store through a proxy of their own.
 struct Fleet {
     site: Site,
     links: Vec<Proxy>,
@@ -72,33 +73,33 @@
         ids
     }
 
-    /// Sends calls as `Site::send_calls` does, from as many callers as upstreams stay.
-    fn send_at_once(&self, name: &str, time: Duration) -> Vec<String> {
+    /// Sends calls as `Site::send_calls` does, with one concurrent caller for each staying upstream.
+    fn send_concurrently(&self, name: &str, time: Duration) -> Vec<String> {
         thread::scope(|scope| {
             let send = |n| scope.spawn(move || self.site.send_calls(&format!("{name}-{n}"), time));
             let callers: Vec<_> = (0..STAYING).map(send).collect();
-            callers.into_iter().flat_map(|c| c.join().expect("no panic")).collect()
+            callers.into_iter().flat_map(|c| c.join().expect("callers do not panic")).collect()
         })
     }
 
-    fn begin(&self, outage: Outage) {
+    fn start_outage(&self, outage: Outage) {
         match outage.kind {
-            Kind::Silent => self.failed(outage).for_each(|link| link.set_link(Link::Silent)),
+            Kind::Silent => self.failed_links(outage).for_each(|link| link.set_link(Link::Silent)),
             Kind::Refusing => self.site.store("refusing"),
         }
     }
 
-    fn end(&self, outage: Outage) {
+    fn end_outage(&self, outage: Outage) {
         self.site.store("up");
         if outage.kind == Kind::Silent {
-            self.failed(outage).for_each(|link| {
+            self.failed_links(outage).for_each(|link| {
                 link.set_link(Link::Pass);
                 link.reset();
             });
         }
     }
 
-    fn failed(&self, outage: Outage) -> impl Iterator<Item = &Proxy> {
+    fn failed_links(&self, outage: Outage) -> impl Iterator<Item = &Proxy> {
         self.links.iter().take(outage.gateways)
     }
 
@@ -108,40 +109,40 @@
 }
 
 #[test]
-fn an_upstream_whose_row_is_removed_around_an_outage_gets_nothing_after_the_bound() {
+fn an_upstream_whose_row_is_removed_around_an_outage_gets_no_requests_after_the_bound() {
     struct Case {
         name: &'static str,
         outage: Outage,
-        /// When it leaves, from the begin of the outage.
-        leaves: Duration,
+        /// When it leaves, from the start of the outage.
+        leaves_after: Duration,
     }
-    let silent = |gateways| Outage { kind: Kind::Silent, gateways, lasts: ms(1_700) };
-    let refusing = Outage { kind: Kind::Refusing, gateways: GATEWAYS, lasts: ms(1_700) };
+    let silent = |gateways| Outage { kind: Kind::Silent, gateways, duration: ms(1_700) };
+    let refusing = Outage { kind: Kind::Refusing, gateways: GATEWAYS, duration: ms(1_700) };
     let cases = [
-        Case { name: "silent, just before the end", outage: silent(4), leaves: ms(1_500) },
-        Case { name: "silent, just after the end", outage: silent(4), leaves: ms(2_000) },
-        Case { name: "refusing, just before the end", outage: refusing, leaves: ms(1_500) },
-        Case { name: "silent for some", outage: silent(3), leaves: ms(1_500) },
-        Case { name: "silent for one", outage: silent(1), leaves: ms(1_500) },
+        Case { name: "silent, just before the end", outage: silent(4), leaves_after: ms(1_500) },
+        Case { name: "silent, just after the end", outage: silent(4), leaves_after: ms(2_000) },
+        Case { name: "refusing, just before the end", outage: refusing, leaves_after: ms(1_500) },
+        Case { name: "silent for most gateways", outage: silent(3), leaves_after: ms(1_500) },
+        Case { name: "silent for one gateway", outage: silent(1), leaves_after: ms(1_500) },
     ];
     let fleet = Fleet::start();
     let mut late = Vec::new();
     for (n, case) in cases.iter().enumerate() {
-        // All gateways use it first, so that they have connections to it and prefer it.
+        // All gateways use the upstream first, so that they have connections to it and prefer it.
         let leaving = fleet.site.add_known_upstream("app");
         fleet.site.send_calls(&format!("before-{n}"), ms(400));
         let staying = fleet.add_staying();
-        fleet.begin(case.outage);
-        let (first, then) = (case.leaves.min(case.outage.lasts), case.outage.lasts);
+        fleet.start_outage(case.outage);
+        let (first, then) = (case.leaves_after.min(case.outage.duration), case.outage.duration);
         fleet.site.send_calls(&format!("during-{n}"), first);
-        if case.leaves <= then {
+        if case.leaves_after <= then {
             fleet.write_row(&leaving, false);
         }
         let removed = fleet.site.now_ms();
         thread::sleep(then.saturating_sub(first));
-        fleet.end(case.outage);
-        let removed = if case.leaves > then {
-            fleet.site.send_calls(&format!("between-{n}"), case.leaves - then);
+        fleet.end_outage(case.outage);
+        let removed = if case.leaves_after > then {
+            fleet.site.send_calls(&format!("between-{n}"), case.leaves_after - then);
             fleet.write_row(&leaving, false);
             fleet.site.now_ms()
         } else {
@@ -149,11 +150,11 @@
         };
         fleet.site.send_calls(&format!("after-{n}"), 2 * BOUND);
         let last = fleet.site.last_run(&leaving);
-        assert!(last > 0, "{}: it was used before", case.name);
+        assert!(last > 0, "{}: the upstream was not used before it left", case.name);
         let after = ms(last.saturating_sub(removed));
-        println!("{}: last reached after {after:?}", case.name);
+        println!("{}: last request {after:?} after the removal", case.name);
         if after > BOUND {
-            late.push(format!("{}: reached after {after:?}", case.name));
+            late.push(format!("{}: request {after:?} after the removal", case.name));
         }
         staying.iter().for_each(|id| fleet.write_row(id, false));
     }
@@ -161,37 +162,41 @@
 }
 
 #[test]
-fn living_upstreams_whose_rows_lapse_in_an_outage_serve_on() {
+fn living_upstreams_whose_rows_lapse_in_an_outage_are_still_used() {
     struct Case {
         name: &'static str,
         kind: Kind,
-        /// How many of the rows lapse.
+        /// Number of rows that lapse.
         lapsed: usize,
     }
     let cases = [
-        Case { name: "all rows, silent", kind: Kind::Silent, lapsed: STAYING },
-        Case { name: "all rows, refusing", kind: Kind::Refusing, lapsed: STAYING },
-        Case { name: "one row", kind: Kind::Silent, lapsed: 1 },
+        Case { name: "all rows lapse, silent", kind: Kind::Silent, lapsed: STAYING },
+        Case { name: "all rows lapse, refusing", kind: Kind::Refusing, lapsed: STAYING },
+        Case { name: "one row lapses", kind: Kind::Silent, lapsed: 1 },
     ];
     let fleet = Fleet::start();
     let upstreams = fleet.add_staying();
     for (n, case) in cases.iter().enumerate() {
-        let outage = Outage { kind: case.kind, gateways: GATEWAYS, lasts: ms(3_000) };
+        let outage = Outage { kind: case.kind, gateways: GATEWAYS, duration: ms(3_000) };
         fleet.site.send_calls(&format!("before-{n}"), ms(400));
-        fleet.begin(outage);
-        let mut failed = fleet.site.send_calls(&format!("during-{n}"), outage.lasts);
+        fleet.start_outage(outage);
+        let mut failed = fleet.site.send_calls(&format!("during-{n}"), outage.duration);
         let lapsed = &upstreams[..case.lapsed];
         lapsed.iter().for_each(|id| fleet.write_row(id, false));
-        fleet.end(outage);
+        fleet.end_outage(outage);
         for id in lapsed {
             failed.extend(fleet.site.send_calls(&format!("lapsed-{n}-{id}"), ms(450)));
             fleet.write_row(id, true);
         }
         let back = fleet.site.now_ms();
-        failed.extend(fleet.send_at_once(&format!("after-{n}"), BOUND));
+        failed.extend(fleet.send_concurrently(&format!("after-{n}"), BOUND));
         assert!(failed.is_empty(), "{}: {failed:?}", case.name);
         for id in &upstreams {
-            assert!(fleet.site.last_run(id) > back, "{}: {id} is used again", case.name);
+            assert!(
+                fleet.site.last_run(id) > back,
+                "{}: {id} got no request after the outage",
+                case.name
+            );
         }
     }
 }
--- a/tests/gateway_signal_books.rs
+++ b/tests/gateway_signal_books.rs
@@ -1,4 +1,5 @@
-//! What gateways remember of what upstreams ask for in their answers.
+//! State that gateways keep of the signals in upstreams' responses: rate limits, cooldowns and
+//! announcements that an upstream is leaving.
 
 #[path = "support/upstreams.rs"]
 mod upstreams;
@@ -27,7 +28,7 @@
     LimitMembers::new(Holder::new("a"), std::iter::empty(), true)
 }
 
-/// Notices at different times: a gateway hears them in any order, repeatedly.
+/// Announcements at different times. A gateway may learn of them in any order, repeatedly.
 fn notices() -> impl Strategy<Value = Vec<LimitNotice>> {
     let rates = prop::collection::vec(prop::option::of(0.1..50.0_f64), 1..12);
     rates.prop_map(|rates| {
@@ -38,7 +39,7 @@
 
 proptest! {
     #[test]
-    fn the_newest_limit_counts_in_whatever_order_it_is_heard(
+    fn the_newest_limit_counts_in_any_order_of_arrival(
         notices in notices(),
         order in prop::collection::vec(0..12_usize, 0..40),
     ) {
@@ -55,7 +56,7 @@
     }
 
     #[test]
-    fn the_parts_of_a_limit_add_up_to_it(rate in 0.05..500.0_f64, gateways in 1..60_usize) {
+    fn the_shares_of_a_limit_add_up_to_it(rate in 0.05..500.0_f64, gateways in 1..60_usize) {
         let now = Instant::now();
         let names: Vec<Holder> =
             (0..gateways).map(|n| Holder::new(&format!("host-{n}"))).collect();
@@ -65,26 +66,26 @@
             let mut book = LimitBook::default();
             book.learn(upstream_lifetime(), LimitNotice { rate: Some(rate), at: 1 }, now);
             book.divide(LimitMembers::new(*own, others, true), now);
-            // Asked all the time, each gateway sends its part.
+            // With constant demand, each gateway sends its whole share.
             for ms in 0..8_000 {
                 let at = now + Duration::from_millis(ms);
                 sent += usize::from(book.take(upstream_lifetime(), at));
             }
         }
         let allowed = rate * 8.0;
-        prop_assert!(sent as f64 <= allowed + 1.0, "{} of {}", sent, allowed);
+        prop_assert!(sent as f64 <= allowed + 1.0, "{} sent, {} allowed", sent, allowed);
         let holders = (1.0 + rate).min(gateways as f64);
-        prop_assert!(sent as f64 >= allowed * 0.95 - holders - 1.0, "{} of {}", sent, allowed);
+        prop_assert!(sent as f64 >= allowed * 0.95 - holders - 1.0, "{} sent, {} allowed", sent, allowed);
     }
 
     #[test]
-    fn a_rest_never_ends_sooner_for_a_later_word(
-        words in prop::collection::vec((0..5_000_u64, 0..4_000_u64), 1..12),
+    fn a_later_request_never_shortens_a_cooldown(
+        requests in prop::collection::vec((0..5_000_u64, 0..4_000_u64), 1..12),
         look in 0..10_000_u64,
     ) {
         let (start, mut book) = (Instant::now(), RestBook::default());
         let mut until = start;
-        for (at, rest) in words {
+        for (at, rest) in requests {
             let (at, rest) = (start + Duration::from_millis(at), Duration::from_millis(rest));
             book.learn(upstream_lifetime(), rest, at);
             until = until.max(at + rest);
@@ -96,7 +97,7 @@
 }
 
 #[test]
-fn a_part_that_moves_to_another_gateway_is_not_spent_twice() {
+fn a_share_that_moves_to_another_gateway_is_not_spent_twice() {
     let now = Instant::now();
     let limited = || {
         let mut book = LimitBook::default();
@@ -108,53 +109,53 @@
     let later = now + 4 * SECOND;
     assert!(first.take(upstream_lifetime(), later));
     next.divide(alone(), later);
-    assert!(!next.take(upstream_lifetime(), later), "it begins with an empty bucket");
+    assert!(!next.take(upstream_lifetime(), later), "a new share starts with an empty bucket");
     assert_eq!(next.wait(upstream_lifetime(), later), Some(2 * SECOND));
 }
 
 #[test]
-fn a_request_that_is_granted_is_taken_from_the_holder() {
+fn a_grant_uses_up_the_share_of_the_holder() {
     let now = Instant::now();
     let limit = |book: &mut LimitBook| {
         book.learn(upstream_lifetime(), LimitNotice { rate: Some(0.5), at: 1 }, now);
     };
     let mut holder = LimitBook::default();
-    assert!(holder.grant(upstream_lifetime(), now).is_err(), "it knows of no limit");
+    assert!(holder.grant(upstream_lifetime(), now).is_err(), "no limit is known");
     limit(&mut holder);
     holder.divide(alone(), now);
     assert_eq!(holder.grant(upstream_lifetime(), now), Err(2 * SECOND));
     let later = now + 2 * SECOND;
     assert_eq!(holder.grant(upstream_lifetime(), later), Ok(()));
-    assert!(!holder.take(upstream_lifetime(), later), "it was granted");
+    assert!(!holder.take(upstream_lifetime(), later), "the token was granted");
     let mut asker = LimitBook::default();
     limit(&mut asker);
     asker
         .divide(LimitMembers::new(Holder::new("b"), std::iter::once(Holder::new("a")), false), now);
-    let asked = |book: &LimitBook, at| book.holders_to_ask(upstream_lifetime(), at).count();
-    assert_eq!(asked(&asker, now), 1);
+    let to_ask = |book: &LimitBook, at| book.holders_to_ask(upstream_lifetime(), at).count();
+    assert_eq!(to_ask(&asker, now), 1);
     let denied = HolderAnswer::Denied(2 * SECOND);
     asker.note_answer(upstream_lifetime(), Holder::new("a"), denied, now);
-    assert_eq!(asked(&asker, now + SECOND), 0, "it said when to ask again");
-    assert_eq!(asked(&asker, later), 1);
+    assert_eq!(to_ask(&asker, now + SECOND), 0, "not before the holder's wait is over");
+    assert_eq!(to_ask(&asker, later), 1);
 }
 
 #[test]
-fn a_question_of_a_limit_comes_through_as_it_was_asked() {
+fn limit_questions_survive_encoding() {
     let questions = [
         LimitQuestion::Ask { number: 7, upstream: upstream_lifetime() },
         LimitQuestion::Answer { number: 7, wait: None },
         LimitQuestion::Answer { number: u64::MAX, wait: Some(SECOND) },
     ];
     for question in questions {
-        let datagram = question.encode().expect("it can be encoded");
-        let decoded = Datagram::decode(&datagram).expect("it can be decoded");
+        let datagram = question.encode().expect("a question encodes");
+        let decoded = Datagram::decode(&datagram).expect("an encoded question decodes");
         assert_eq!(decoded, Datagram::Limit(question));
-        assert!(Datagram::decode(&datagram[..1]).is_err(), "cut off");
+        assert!(Datagram::decode(&datagram[..1]).is_err(), "truncated datagram");
     }
 }
 
 #[test]
-fn a_limit_of_nothing_leaves_room_to_ask_again() {
+fn a_limit_of_zero_still_allows_occasional_requests() {
     let now = Instant::now();
     let mut book = LimitBook::default();
     book.learn(upstream_lifetime(), LimitNotice { rate: Some(0.0), at: 1 }, now);
@@ -163,9 +164,9 @@
     assert!(book.take(upstream_lifetime(), now + 21 * SECOND));
 }
 
-/// A heartbeat is one datagram, whatever the number of upstreams.
+/// A heartbeat has to fit into one datagram, whatever the number of upstreams.
 #[test]
-fn many_limits_are_told_in_turns_and_changes_first() {
+fn many_limits_are_reported_in_turns_and_changes_first() {
     const UPSTREAMS: u64 = 1_000;
     let now = Instant::now();
     let lifetime = |n| Lifetime::new("i", Some(n));
@@ -174,38 +175,38 @@
     for n in 0..UPSTREAMS {
         book.learn(lifetime(n), notice(1.0, 1), now);
     }
-    let mut told = BTreeSet::new();
+    let mut reported = BTreeSet::new();
     let mut beats = 0;
-    while told.len() < UPSTREAMS as usize {
+    while reported.len() < UPSTREAMS as usize {
         let reports = book.reports(now);
         assert!(reports.len() <= 40, "{} in one heartbeat", reports.len());
-        told.extend(reports.iter().map(|r| r.0));
+        reported.extend(reports.iter().map(|r| r.0));
         beats += 1;
-        assert!(beats <= 40, "told of {} after {beats} heartbeats", told.len());
+        assert!(beats <= 40, "{} reported after {beats} heartbeats", reported.len());
     }
     book.learn(lifetime(7), notice(2.0, 2), now);
-    assert_eq!(book.reports(now)[0].0, lifetime(7), "a change goes first");
+    assert_eq!(book.reports(now)[0].0, lifetime(7), "a changed limit is reported first");
 }
 
 #[test]
-fn many_upstreams_that_leave_are_told_in_turns() {
+fn many_leaving_upstreams_are_reported_in_turns() {
     const UPSTREAMS: u64 = 1_000;
     let now = Instant::now();
     let mut board = Board::new(TrueClock::new(now, 0), now);
     for n in 0..UPSTREAMS {
         board.note_leaving(Lifetime::new("i", Some(n)), now, now);
     }
-    let mut told = BTreeSet::new();
+    let mut reported = BTreeSet::new();
     for _ in 0..40 {
         let reports = board.leaving_reports(now);
         assert!(reports.len() <= 40, "{} in one heartbeat", reports.len());
-        told.extend(reports.iter().map(|r| r.0));
+        reported.extend(reports.iter().map(|r| r.0));
     }
-    assert_eq!(told.len(), UPSTREAMS as usize);
+    assert_eq!(reported.len(), UPSTREAMS as usize);
 }
 
 #[test]
-fn a_limit_beyond_all_numbers_of_gateways_is_divided() {
+fn a_limit_far_above_the_number_of_gateways_is_divided() {
     let now = Instant::now();
     let mut book = LimitBook::default();
     book.learn(upstream_lifetime(), LimitNotice { rate: Some(f64::MAX), at: 1 }, now);
@@ -213,18 +214,18 @@
     assert!(book.take(upstream_lifetime(), now + SECOND));
 }
 
-/// Gateways that hear each other must not remember for ever what they tell each other.
+/// Gateways must not keep facts alive for ever by reporting them to each other.
 #[test]
-fn what_gone_upstreams_asked_for_is_forgotten_by_gateways_that_hear_each_other() {
+fn signals_of_removed_upstreams_are_forgotten_by_gateways_that_report_to_each_other() {
     let start = Instant::now();
     let new = || (LimitBook::default(), Board::new(TrueClock::new(start, 0), start));
     let mut gateways = [new(), new(), new()];
     gateways[0].0.learn(upstream_lifetime(), LimitNotice { rate: Some(1.0), at: 1 }, start);
     gateways[0].1.note_leaving(upstream_lifetime(), start, start);
     let mut rng = fastrand::Rng::with_seed(38);
-    for tenth in 0..3_000_u32 {
-        let now = start + SECOND / 10 * tenth;
-        // Each hears another now and then, and looks at its list at times of its own.
+    for tick in 0..3_000_u32 {
+        let now = start + SECOND / 10 * tick;
+        // Heartbeats arrive, and lists are checked, at random times.
         let from = rng.usize(..gateways.len());
         let to = (from + rng.usize(1..gateways.len())) % gateways.len();
         let (limits, leaving) =
@@ -235,11 +236,11 @@
         for report in leaving {
             gateways[to].1.note_leaving(report.0, now, now);
         }
-        let looks = &mut gateways[rng.usize(..3)];
-        looks.0.retain(|_| false, now);
-        looks.1.forget_lifetimes(now);
-        if tenth == 30 {
-            assert!(gateways.iter().all(|g| g.0.limited() == 1), "all know it");
+        let checking = &mut gateways[rng.usize(..3)];
+        checking.0.retain(|_| false, now);
+        checking.1.forget_lifetimes(now);
+        if tick == 30 {
+            assert!(gateways.iter().all(|g| g.0.limited() == 1), "all gateways know the limit");
         }
     }
     for (limits, board) in &gateways {
@@ -249,7 +250,7 @@
 }
 
 #[test]
-fn an_upstream_leaves_for_the_rest_of_its_lifetime() {
+fn an_upstream_is_leaving_for_the_rest_of_its_lifetime() {
     struct Case {
         name: &'static str,
         row: Option<Upstream>,
@@ -260,7 +261,7 @@
         Case { name: "its row says ready again", row: Some(ready()), takes_work: false },
         Case { name: "its row was missing", row: None, takes_work: false },
         Case {
-            name: "it has started again",
+            name: "it has restarted",
             row: Some(upstream(UpstreamPhase::Ready, 2)),
             takes_work: true,
         },
@@ -269,8 +270,16 @@
     for case in cases {
         let mut board = Board::new(TrueClock::new(now, 0), now);
         board.describe(ready(), now);
-        assert!(board.note_leaving(upstream_lifetime(), now, now), "{}: it is new", case.name);
-        assert!(!board.note_leaving(upstream_lifetime(), now, now), "{}: again", case.name);
+        assert!(
+            board.note_leaving(upstream_lifetime(), now, now),
+            "{}: first announcement",
+            case.name
+        );
+        assert!(
+            !board.note_leaving(upstream_lifetime(), now, now),
+            "{}: repeated announcement",
+            case.name
+        );
         let later = now + 2 * SECOND;
         let row = case.row.unwrap_or_else(|| {
             board.upstreams.clear();
@@ -280,12 +289,12 @@
         board.describe(row, later);
         let view = &board.upstreams["i-1"];
         assert_eq!(view.takes_work(), case.takes_work, "{}", case.name);
-        assert!(!view.is_last_resort(later), "{}: later than a second", case.name);
+        assert!(!view.is_last_resort(later), "{}: more than a second later", case.name);
     }
 }
 
 #[test]
-fn a_service_holds_off_until_the_first_of_its_upstreams_takes_a_request() {
+fn a_service_waits_until_the_first_of_its_upstreams_may_get_a_request() {
     struct Case {
         name: &'static str,
         rest: Duration,
@@ -293,8 +302,8 @@
         wait: Option<Duration>,
     }
     let cases = [
-        Case { name: "nothing is asked for", rest: Duration::ZERO, rate: None, wait: None },
-        Case { name: "a rest", rest: 3 * SECOND, rate: None, wait: Some(3 * SECOND) },
+        Case { name: "no signal", rest: Duration::ZERO, rate: None, wait: None },
+        Case { name: "a cooldown", rest: 3 * SECOND, rate: None, wait: Some(3 * SECOND) },
         Case { name: "a limit", rest: Duration::ZERO, rate: Some(0.5), wait: Some(2 * SECOND) },
         Case { name: "both", rest: 3 * SECOND, rate: Some(0.5), wait: Some(3 * SECOND) },
     ];
--- a/tests/limits/fleet.rs
+++ b/tests/limits/fleet.rs
@@ -1,5 +1,5 @@
-//! Gateways before upstreams with rate limits, in simulated time: callers come at random,
-//! heartbeats are late and lost, gateways start again and are cut off.
+//! Simulation of gateways in front of upstreams with rate limits: callers arrive at random,
+//! heartbeats are late, requests for grants are lost, gateways restart and are cut off.
 
 use std::time::{Duration, Instant};
 
@@ -8,32 +8,32 @@
     model::Lifetime,
 };
 
-/// Between two steps of the simulation.
+/// Time between two steps of the simulation.
 const STEP: Duration = Duration::from_millis(50);
-/// Span over which an upstream counts requests.
-const SPAN: Duration = Duration::from_secs(4);
-/// Moments at which the gateways look whom they have heard, after a start.
-const HEARING_STEPS: u32 = 3;
-/// Share of the others that a gateway knows before it takes a part, as in the product.
+/// Window over which an upstream counts requests.
+const WINDOW: Duration = Duration::from_secs(4);
+/// Times after a start at which the gateways divide the limits anew, as they hear of each other.
+const DISCOVERY_STEPS: u32 = 3;
+/// Part of the fleet that a gateway knows before it takes a share, as in the product.
 const KNOWN_SHARE: f64 = 0.75;
-/// Time after which a gateway that is not heard is taken to be gone.
-const FORGOTTEN: Duration = Duration::from_secs(12);
+/// Silence after which a gateway is taken to be gone.
+const PEER_EXPIRY: Duration = Duration::from_secs(12);
 
-/// How the gateways keep a limit together.
+/// How the gateways enforce a limit together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// The product's: few gateways have a part each, and the others ask them.
-    Asking,
-    /// Few gateways have a part each.
-    FewHolders,
-    /// Each gateway has an equal part and sends whole requests.
-    EqualParts,
-    /// Each gateway takes off what the others say that they sent.
-    Heard,
+pub enum Strategy {
+    /// As in the product: a few gateways hold a share each, and the others ask them for grants.
+    Grants,
+    /// A few gateways hold a share each, and only they send.
+    Holders,
+    /// Every gateway holds an equal share and sends whole requests.
+    EqualShares,
+    /// Every gateway subtracts what the others report to have sent.
+    ReportedUse,
 }
 
-impl Way {
-    pub const ALL: [Self; 4] = [Self::Asking, Self::FewHolders, Self::EqualParts, Self::Heard];
+impl Strategy {
+    pub const ALL: [Self; 4] = [Self::Grants, Self::Holders, Self::EqualShares, Self::ReportedUse];
 }
 
 /// A fleet and its load.
@@ -45,63 +45,66 @@
     pub rate: f64,
     /// Requests a second of all callers.
     pub demand: f64,
-    /// Gateways that start again each second.
+    /// Gateway restarts a second.
     pub restarts: f64,
-    /// How many times as late as usual heartbeats are at most: each pair of gateways draws.
+    /// Largest factor by which heartbeats are late; each pair of gateways has its own factor.
     pub late: f64,
-    /// Share of questions, and of answers to them, that are lost.
+    /// Share of requests for grants, and of answers to them, that are lost.
     pub lost: f64,
-    /// For how long a fifth of the gateways is cut off from the others, in the middle.
+    /// How long a fifth of the gateways is cut off from the others, from the middle of the
+    /// simulation on.
     pub cut: Duration,
-    pub lasts: Duration,
+    /// Length of the simulation.
+    pub duration: Duration,
 }
 
-/// What came of it.
+/// Result of a simulation.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Played {
+pub struct Outcome {
     /// Most requests that an upstream got in any four seconds.
     pub most: usize,
-    /// Share that was sent, of what callers asked for or upstreams take, whichever is less.
-    pub used: f64,
+    /// Requests sent, as a share of the demand or of what the upstreams take, whichever is less.
+    pub utilization: f64,
 }
 
-/// What a gateway of [`Way::Heard`] knows of an upstream's level.
+/// Token bucket of a gateway of [`Strategy::EqualShares`].
 #[derive(Clone, Copy, Debug)]
-struct Level {
+struct Bucket {
     tokens: f64,
     at: Instant,
 }
 
 struct Gateway {
     name: Holder,
-    book: LimitBook,
-    levels: Vec<Level>,
+    limits: LimitBook,
+    buckets: Vec<Bucket>,
     started: Instant,
 }
 
 pub struct Fleet {
     load: Load,
-    way: Way,
-    /// Draws callers, the same for each way.
+    strategy: Strategy,
+    /// Draws callers, alike for each strategy.
     rng: fastrand::Rng,
-    /// Draws restarts, the same for each way.
+    /// Draws restarts, alike for each strategy.
     restarts: fastrand::Rng,
-    /// Draws which questions are lost.
+    /// Draws which messages are lost.
     losses: fastrand::Rng,
     start: Instant,
     gateways: Vec<Gateway>,
     upstreams: Vec<Lifetime>,
-    /// What was sent: when, by whom, and where it went.
+    /// Requests sent: time, gateway and upstream.
     sent: Vec<(Instant, usize, usize)>,
-    callers: usize,
+    /// Requests of callers.
+    demanded: usize,
 }
 
 impl Fleet {
-    pub fn new(load: Load, way: Way, seed: u64) -> Self {
+    pub fn new(load: Load, strategy: Strategy, seed: u64) -> Self {
         let start = Instant::now();
         let mut fleet = Self {
             load,
-            way,
+            strategy,
             rng: fastrand::Rng::with_seed(seed),
             restarts: fastrand::Rng::with_seed(seed + 1_000),
             losses: fastrand::Rng::with_seed(seed + 2_000),
@@ -111,7 +114,7 @@
                 .map(|u| Lifetime::new(&format!("i-{u}"), None))
                 .collect(),
             sent: Vec::new(),
-            callers: 0,
+            demanded: 0,
         };
         for n in 0..load.gateways {
             let gateway = fleet.gateway(n, start);
@@ -121,30 +124,30 @@
     }
 
     fn gateway(&self, n: usize, now: Instant) -> Gateway {
-        let mut book = LimitBook::default();
+        let mut limits = LimitBook::default();
         for upstream in &self.upstreams {
-            book.learn(*upstream, LimitNotice { rate: Some(self.load.rate), at: 1 }, now);
+            limits.learn(*upstream, LimitNotice { rate: Some(self.load.rate), at: 1 }, now);
         }
-        let levels = vec![Level { tokens: 0.0, at: now }; self.upstreams.len()];
-        Gateway { name: Holder::new(&format!("host-{n}")), book, levels, started: now }
+        let buckets = vec![Bucket { tokens: 0.0, at: now }; self.upstreams.len()];
+        Gateway { name: Holder::new(&format!("host-{n}")), limits, buckets, started: now }
     }
 
-    /// Plays the load.
-    pub fn play(mut self) -> Played {
-        let steps = (self.load.lasts.as_secs_f64() / STEP.as_secs_f64()) as u32;
-        let cut = self.start + self.load.lasts / 2;
-        let latest = self.heard_after().mul_f64(self.load.late);
+    /// Runs the simulation.
+    pub fn run(mut self) -> Outcome {
+        let steps = (self.load.duration.as_secs_f64() / STEP.as_secs_f64()) as u32;
+        let cut = self.start + self.load.duration / 2;
+        let latest = self.propagation_time().mul_f64(self.load.late);
         // Gateways hear of each other at different times.
-        let hears =
-            |from: Instant| (0..=HEARING_STEPS).map(move |n| from + latest * n / HEARING_STEPS);
-        let mut divide_at: Vec<Instant> = hears(self.start).collect();
+        let discoveries =
+            |from: Instant| (0..=DISCOVERY_STEPS).map(move |n| from + latest * n / DISCOVERY_STEPS);
+        let mut divide_at: Vec<Instant> = discoveries(self.start).collect();
         if !self.load.cut.is_zero() {
-            divide_at.extend([cut + FORGOTTEN, cut + self.load.cut]);
+            divide_at.extend([cut + PEER_EXPIRY, cut + self.load.cut]);
         }
         for step in 0..steps {
             let now = self.start + STEP * step;
             if self.restart(now) {
-                divide_at.extend(hears(now));
+                divide_at.extend(discoveries(now));
             }
             if divide_at.iter().any(|at| *at <= now) {
                 divide_at.retain(|at| *at > now);
@@ -152,35 +155,35 @@
             }
             self.call(now);
         }
-        self.played()
+        self.outcome()
     }
 
-    /// Time in which a heartbeat reaches the others: with more gateways it is passed on more
-    /// often.
-    fn heard_after(&self) -> Duration {
+    /// Returns the time in which a heartbeat reaches the others: the more gateways there are, the
+    /// more often it is relayed.
+    fn propagation_time(&self) -> Duration {
         Duration::from_millis(150 + 150 * self.load.gateways as u64 / 24)
     }
 
     fn is_cut(&self, gateway: usize, now: Instant) -> bool {
-        let begin = self.start + self.load.lasts / 2;
+        let begin = self.start + self.load.duration / 2;
         gateway.is_multiple_of(5) && (begin..begin + self.load.cut).contains(&now)
     }
 
-    /// Time in which the heartbeats of one gateway reach another.
-    fn heard_by(&self, own: usize, other: usize) -> Duration {
+    /// Returns the time in which the heartbeats of `other` reach `own`.
+    fn delay_between(&self, own: usize, other: usize) -> Duration {
         let drawn = (own * 31 + other * 17) % 100;
-        self.heard_after().mul_f64(1.0 + drawn as f64 / 100.0 * (self.load.late - 1.0))
+        self.propagation_time().mul_f64(1.0 + drawn as f64 / 100.0 * (self.load.late - 1.0))
     }
 
-    /// Returns whether one gateway counts another among the fleet.
+    /// Returns whether `own` counts `other` as part of the fleet.
     fn knows(&self, own: usize, other: usize, now: Instant) -> bool {
         let up = now.saturating_duration_since(self.gateways[own].started);
         let other_up = now.saturating_duration_since(self.gateways[other].started);
-        let heard = up.min(other_up) >= self.heard_by(own, other);
-        let begin = self.start + self.load.lasts / 2;
-        let forgotten =
-            now >= begin + FORGOTTEN && (self.is_cut(own, now) != self.is_cut(other, now));
-        heard && !forgotten
+        let heard = up.min(other_up) >= self.delay_between(own, other);
+        let begin = self.start + self.load.duration / 2;
+        let expired =
+            now >= begin + PEER_EXPIRY && (self.is_cut(own, now) != self.is_cut(other, now));
+        heard && !expired
     }
 
     fn divide(&mut self, now: Instant) {
@@ -189,9 +192,9 @@
             let known: Vec<Holder> = known.map(|o| self.gateways[o].name).collect();
             let up = now.saturating_duration_since(self.gateways[n].started);
             let share = (known.len() + 1) as f64 / self.gateways.len() as f64;
-            let knows_most = up >= FORGOTTEN || share >= KNOWN_SHARE;
+            let knows_most = up >= PEER_EXPIRY || share >= KNOWN_SHARE;
             let members = LimitMembers::new(self.gateways[n].name, known.into_iter(), knows_most);
-            self.gateways[n].book.divide(members, now);
+            self.gateways[n].limits.divide(members, now);
         }
     }
 
@@ -209,23 +212,23 @@
         while expected > 0.0 {
             if self.rng.f64() < expected {
                 let n = self.rng.usize(..self.gateways.len());
-                self.callers += 1;
+                self.demanded += 1;
                 self.send(n, now);
             }
             expected -= 1.0;
         }
     }
 
-    /// Sends a caller's request to the first upstream that takes it.
+    /// Sends a caller's request to the first upstream that the strategy allows.
     fn send(&mut self, n: usize, now: Instant) {
         let first = self.rng.usize(..self.upstreams.len());
         for i in 0..self.upstreams.len() {
             let upstream = (first + i) % self.upstreams.len();
-            let taken = match self.way {
-                Way::FewHolders => self.gateways[n].book.take(self.upstreams[upstream], now),
-                Way::Asking => self.take_or_ask(n, self.upstreams[upstream], now),
-                Way::EqualParts => self.take_part(n, upstream, now),
-                Way::Heard => self.take_heard(n, upstream, now),
+            let taken = match self.strategy {
+                Strategy::Holders => self.gateways[n].limits.take(self.upstreams[upstream], now),
+                Strategy::Grants => self.take_or_ask(n, self.upstreams[upstream], now),
+                Strategy::EqualShares => self.take_equal_share(n, upstream, now),
+                Strategy::ReportedUse => self.take_by_reports(n, upstream, now),
             };
             if taken {
                 self.sent.push((now, n, upstream));
@@ -234,65 +237,65 @@
         }
     }
 
-    /// Takes a request from the gateway's own part, or asks one of the holders.
+    /// Takes a token from the gateway's own share, or asks one of the holders for a grant.
     fn take_or_ask(&mut self, n: usize, upstream: Lifetime, now: Instant) -> bool {
-        if self.gateways[n].book.take(upstream, now) {
+        if self.gateways[n].limits.take(upstream, now) {
             return true;
         }
         let by_holder = |holder: &Holder| self.gateways.iter().position(|g| g.name == *holder);
-        let holders: Vec<Holder> = self.gateways[n].book.holders_to_ask(upstream, now).collect();
+        let holders: Vec<Holder> = self.gateways[n].limits.holders_to_ask(upstream, now).collect();
         let is_heard = |other: usize| self.is_cut(n, now) == self.is_cut(other, now);
         let found = holders.iter().find_map(|h| Some((*h, by_holder(h).filter(|o| is_heard(*o))?)));
         let Some((holder, other)) = found else {
             return false;
         };
-        let [question_lost, answer_lost] = [(); 2].map(|()| self.losses.f64() < self.load.lost);
-        let granted = (!question_lost).then(|| self.gateways[other].book.grant(upstream, now));
+        let [request_lost, answer_lost] = [(); 2].map(|()| self.losses.f64() < self.load.lost);
+        let granted = (!request_lost).then(|| self.gateways[other].limits.grant(upstream, now));
         let answer = match granted.filter(|_| !answer_lost) {
             Some(Ok(())) => HolderAnswer::Granted,
             Some(Err(wait)) => HolderAnswer::Denied(wait),
             None => HolderAnswer::Denied(GRANT_RETRY),
         };
-        self.gateways[n].book.note_answer(upstream, holder, answer, now);
+        self.gateways[n].limits.note_answer(upstream, holder, answer, now);
         answer == HolderAnswer::Granted
     }
 
-    fn take_part(&mut self, n: usize, upstream: usize, now: Instant) -> bool {
-        let part = self.load.rate / self.gateways.len() as f64;
-        let level = &mut self.gateways[n].levels[upstream];
-        let elapsed = now.saturating_duration_since(level.at).as_secs_f64();
-        *level = Level { tokens: (level.tokens + part * elapsed).min(1.0), at: now };
-        let taken = level.tokens >= 1.0;
-        level.tokens -= f64::from(u8::from(taken));
+    fn take_equal_share(&mut self, n: usize, upstream: usize, now: Instant) -> bool {
+        let share = self.load.rate / self.gateways.len() as f64;
+        let bucket = &mut self.gateways[n].buckets[upstream];
+        let elapsed = now.saturating_duration_since(bucket.at).as_secs_f64();
+        *bucket = Bucket { tokens: (bucket.tokens + share * elapsed).min(1.0), at: now };
+        let taken = bucket.tokens >= 1.0;
+        bucket.tokens -= f64::from(u8::from(taken));
         taken
     }
 
-    fn take_heard(&mut self, n: usize, upstream: usize, now: Instant) -> bool {
-        let late = self.heard_after();
+    fn take_by_reports(&mut self, n: usize, upstream: usize, now: Instant) -> bool {
+        let late = self.propagation_time();
         let known = |s: &&(Instant, usize, usize)| {
             let own = s.1 == n;
             let heard = s.0 + late <= now && self.is_cut(n, now) == self.is_cut(s.1, now);
-            s.2 == upstream && now.saturating_duration_since(s.0) < SPAN && (own || heard)
+            s.2 == upstream && now.saturating_duration_since(s.0) < WINDOW && (own || heard)
         };
         let sent = self.sent.iter().rev().take(4_000).filter(known).count();
-        (sent as f64) < self.load.rate * SPAN.as_secs_f64()
+        (sent as f64) < self.load.rate * WINDOW.as_secs_f64()
     }
 
-    fn played(&self) -> Played {
+    fn outcome(&self) -> Outcome {
         let mut most = 0;
         for upstream in 0..self.upstreams.len() {
             let at: Vec<Instant> =
                 self.sent.iter().filter(|s| s.2 == upstream).map(|s| s.0).collect();
             let mut first = 0;
             for last in 0..at.len() {
-                while at[last] - at[first] >= SPAN {
+                while at[last] - at[first] >= WINDOW {
                     first += 1;
                 }
                 most = most.max(last + 1 - first);
             }
         }
-        let taken = self.load.rate * self.upstreams.len() as f64 * self.load.lasts.as_secs_f64();
-        let used = self.sent.len() as f64 / taken.min(self.callers as f64);
-        Played { most, used }
+        let taken = self.load.rate * self.upstreams.len() as f64 * self.load.duration.as_secs_f64();
+        let utilization = self.sent.len() as f64 / taken.min(self.demanded as f64);
+        Outcome { most, utilization }
     }
 }
--- a/tests/readers/mod.rs
+++ b/tests/readers/mod.rs
@@ -1,45 +1,48 @@
-//! Gateways that read a store and tell each other, in simulated time: real decisions, a
-//! store and a network of a few lines.
+//! Simulation of gateways that read a store and tell each other what they know. The gateways make
+//! the product's decisions; the store and the network are simple models.
 
 use std::time::{Duration, Instant};
 
 use tackhollow::gateway::decide::{Knowledge, Reader, StoreClock, Turn, turn};
 
-/// One step of simulated time, in milliseconds.
-const STEP: u64 = 10;
-/// Between heartbeats of a gateway.
-const BEAT: u64 = 150;
-/// Gateways that get each heartbeat.
+/// Step of simulated time, in milliseconds.
+const STEP_MS: u64 = 10;
+/// Interval between heartbeats of a gateway, in milliseconds.
+const HEARTBEAT_MS: u64 = 150;
+/// Gateways that receive each heartbeat.
 const FAN_OUT: usize = 24;
-/// One heartbeat of so many is lost.
+/// One in this many heartbeats is lost.
 const LOST_ONE_IN: u32 = 50;
-/// Silence after which a gateway counts as gone, with so few that each hears all.
-const SILENCE: u64 = 800;
-/// Time of an answer of the store.
-const ANSWER: u64 = 10;
-/// What an answer may take beyond its wait before the next call begins.
-const ANSWER_TIME: u64 = 100;
-/// What an answer may take beyond its wait before the store counts as not answering.
-const SLACK: u64 = 1_500;
+/// Silence after which a gateway counts as gone, in milliseconds, if there are so few that each
+/// heartbeat reaches all.
+const MIN_SILENCE_MS: u64 = 800;
+/// Time that the store takes to answer, in milliseconds.
+const ANSWER_MS: u64 = 10;
+/// Time for an answer, beyond the wait of a long poll, before the next call begins, in
+/// milliseconds.
+const NEXT_CALL_MARGIN_MS: u64 = 100;
+/// Time for an answer, beyond the wait of a long poll, before the store counts as not answering,
+/// in milliseconds.
+const TIMEOUT_MARGIN_MS: u64 = 1_500;
 
 /// A span of simulated time, in milliseconds.
 pub type Span = std::ops::Range<u64>;
 
-/// A gateway and what happens to it.
+/// Failures of a gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
-    /// Its calls to the store are lost meanwhile, and those that are on their way.
+    /// Time in which its calls to the store are lost, including those in flight.
     pub cut: Option<Span>,
-    /// It is gone from then on.
+    /// Time from which it is gone, in milliseconds.
     pub dies: Option<u64>,
-    /// It stands still meanwhile.
+    /// Time in which it does nothing.
     pub frozen: Option<Span>,
 }
 
-/// What happens to the store.
+/// Outages of the store.
 #[derive(Clone, Debug, Default)]
 pub struct Outages {
-    /// Calls are lost, and those that are on their way.
+    /// Calls are lost, including those in flight.
     pub silent: Vec<Span>,
     /// Calls are refused at once.
     pub refusing: Vec<Span>,
@@ -48,18 +51,20 @@
 /// A message that reached a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// The store told all changes up to a revision.
+    /// The store returned all changes up to a revision.
     Answer { upto: u64 },
-    /// A call to the store came to nothing.
+    /// A call to the store failed.
     Failure,
-    /// The heartbeat of another gateway.
+    /// A heartbeat of another gateway.
     Heartbeat { from: usize },
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Call {
     began: u64,
+    /// When the store answers even if nothing has changed.
     until: u64,
+    /// Revision after which changes are requested.
     after: u64,
     lost: bool,
 }
@@ -72,10 +77,10 @@
     clock: StoreClock,
     turned_away: bool,
     calls: Vec<Call>,
-    next: u64,
-    /// When each gateway was last heard, and whether the store turned it away.
+    next_call: u64,
+    /// When each gateway was last heard, and whether the store did not answer it then.
     heard: Vec<Option<(u64, bool)>>,
-    beat: u64,
+    next_heartbeat: u64,
 }
 
 /// The store, the gateways and the network between them.
@@ -85,12 +90,12 @@
     now: u64,
     gateways: Vec<Gateway>,
     outages: Outages,
-    /// Moments at which changes are confirmed, in order.
+    /// Times at which changes are confirmed, in ascending order.
     changes: Vec<u64>,
     rng: fastrand::Rng,
-    /// Calls to the store.
+    /// Number of calls to the store.
     pub calls: usize,
-    /// Messages in order: when each arrived, and at which gateway.
+    /// Messages in the order of arrival: time, receiving gateway and content.
     pub deliveries: Vec<(u64, usize, Delivery)>,
 }
 
@@ -98,13 +103,14 @@
     spans.iter().any(|s| s.contains(&now))
 }
 
-/// Returns whether one of the spans begins in the last step, or has not ended.
-fn breaks(spans: &[Span], now: u64) -> bool {
-    spans.iter().any(|s| s.contains(&now) || (now - STEP.min(now)..=now).contains(&s.start))
+/// Returns whether calls in flight are lost: one of the spans contains `now`, or began since the
+/// last step.
+fn loses_calls(spans: &[Span], now: u64) -> bool {
+    spans.iter().any(|s| s.contains(&now) || (now - STEP_MS.min(now)..=now).contains(&s.start))
 }
 
 impl World {
-    /// Creates gateways that all know the store as of now.
+    /// Creates gateways that all know the store as of time 0.
     pub fn new(seed: u64, plans: Vec<Plan>, outages: Outages, changes: Vec<u64>) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
         let start = Instant::now();
@@ -119,37 +125,38 @@
                 clock,
                 turned_away: false,
                 calls: Vec::new(),
-                next: rng.u64(..200),
+                next_call: rng.u64(..200),
                 heard: vec![Some((0, false)); count],
-                beat: rng.u64(..BEAT),
+                next_heartbeat: rng.u64(..HEARTBEAT_MS),
             }
         };
         let gateways = plans.into_iter().enumerate().map(gateway).collect();
         Self { start, now: 0, gateways, outages, changes, rng, calls: 0, deliveries: Vec::new() }
     }
 
-    /// Lets time pass; returns for each gateway that lives when it knew the last change.
+    /// Runs the simulation until a time; returns when each gateway first knew the last change in
+    /// this run, `None` for those that did not.
     pub fn play(&mut self, until: u64) -> Vec<Option<u64>> {
         let mut knew = vec![None; self.gateways.len()];
         while self.now < until {
             for (i, knew) in knew.iter_mut().enumerate() {
-                if !self.acts(i) {
+                if !self.is_running(i) {
                     continue;
                 }
                 self.answer(i);
                 self.call(i);
-                self.tell(i);
+                self.send_heartbeat(i);
                 let newest = self.gateways[i].knowledge.position > self.changes.len() as u64;
                 if newest && knew.is_none() {
                     *knew = Some(self.now);
                 }
             }
-            self.now += STEP;
+            self.now += STEP_MS;
         }
         knew
     }
 
-    /// Returns the age of a gateway's knowledge, as it believes and in truth.
+    /// Returns the age of a gateway's knowledge, as it estimates it, and the true age.
     pub fn ages(&self, i: usize) -> (Duration, Duration) {
         let gateway = &self.gateways[i];
         let as_of = gateway.knowledge.as_of;
@@ -161,33 +168,34 @@
         self.start + Duration::from_millis(self.now)
     }
 
-    /// Returns whether a gateway lives.
+    /// Returns whether a gateway has not been killed.
     pub fn lives(&self, i: usize) -> bool {
         self.gateways[i].plan.dies.is_none_or(|t| self.now < t)
     }
 
-    fn acts(&self, i: usize) -> bool {
+    fn is_running(&self, i: usize) -> bool {
         self.lives(i) && !within(self.gateways[i].plan.frozen.as_slice(), self.now)
     }
 
-    /// Returns the revision of the store at a moment.
+    /// Returns the revision of the store at a time.
     fn revision(&self, now: u64) -> u64 {
         1 + self.changes.iter().filter(|t| **t <= now).count() as u64
     }
 
-    /// Hands over the answers that are due.
+    /// Delivers the answers that are due, and fails the calls that timed out.
     fn answer(&mut self, i: usize) {
         let (now, revision) = (self.now, self.revision(self.now));
-        let broken =
-            breaks(&self.outages.silent, now) || breaks(self.gateways[i].plan.cut.as_slice(), now);
+        let in_flight_lost = loses_calls(&self.outages.silent, now)
+            || loses_calls(self.gateways[i].plan.cut.as_slice(), now);
         let instant = self.instant();
         let gateway = &mut self.gateways[i];
-        gateway.calls.iter_mut().for_each(|c| c.lost |= broken);
-        let due =
-            |c: &Call| !c.lost && now >= c.began + ANSWER && (revision > c.after || now >= c.until);
+        gateway.calls.iter_mut().for_each(|c| c.lost |= in_flight_lost);
+        let due = |c: &Call| {
+            !c.lost && now >= c.began + ANSWER_MS && (revision > c.after || now >= c.until)
+        };
         let (answered, open): (Vec<Call>, Vec<Call>) = gateway.calls.iter().partition(|c| due(c));
         let (overdue, open): (Vec<Call>, Vec<Call>) =
-            open.into_iter().partition(|c| now > c.until + SLACK);
+            open.into_iter().partition(|c| now > c.until + TIMEOUT_MARGIN_MS);
         gateway.calls = open;
         gateway.turned_away |= !overdue.is_empty();
         self.deliveries.extend(overdue.iter().map(|_| (now, i, Delivery::Failure)));
@@ -197,15 +205,15 @@
             gateway.knowledge.advance(Knowledge { position: revision, as_of: now });
             gateway.clock.note(now, instant);
             if revision > call.after {
-                gateway.next = now;
+                gateway.next_call = now;
             }
         }
     }
 
-    /// Does what its turn says.
+    /// Makes a call to the store, if the gateway decides so.
     fn call(&mut self, i: usize) {
         let now = self.now;
-        if now < self.gateways[i].next {
+        if now < self.gateways[i].next_call {
             return;
         }
         let gateway = &self.gateways[i];
@@ -218,19 +226,20 @@
             recent
                 .map(|(n, (_, turned_away))| Reader { turned_away, process: &self.gateways[n].id })
         };
-        let believed = gateway.clock.now(self.instant()).expect("all know the clock");
+        let believed =
+            gateway.clock.now(self.instant()).expect("every gateway has a clock reading");
         let age = self.ages(i).0;
         let (wait, next) = match turn(own, others, age, believed) {
             Turn::Wait(wait) => {
                 let wait = wait.as_millis() as u64;
-                (Some(wait), now + wait + ANSWER_TIME)
+                (Some(wait), now + wait + NEXT_CALL_MARGIN_MS)
             }
             Turn::StandIn(pause) => (Some(0), now + pause.as_millis() as u64),
             Turn::Later(pause) => (None, now + pause.as_millis() as u64),
         };
         let refused = within(&self.outages.refusing, now);
         let gateway = &mut self.gateways[i];
-        gateway.next = next.max(now + STEP);
+        gateway.next_call = next.max(now + STEP_MS);
         let Some(wait) = wait else {
             return;
         };
@@ -245,31 +254,32 @@
         gateway.calls.push(Call { began: now, until: now + wait, after, lost });
     }
 
+    /// Returns the silence after which a gateway counts as gone.
     fn silence(&self) -> u64 {
-        let beats = self.gateways.len() as f64 / FAN_OUT as f64;
-        SILENCE.max((BEAT as f64 * beats * 3.0) as u64)
+        let heartbeats = self.gateways.len() as f64 / FAN_OUT as f64;
+        MIN_SILENCE_MS.max((HEARTBEAT_MS as f64 * heartbeats * 3.0) as u64)
     }
 
     /// Sends a heartbeat, if one is due.
-    fn tell(&mut self, i: usize) {
-        if self.now < self.gateways[i].beat {
+    fn send_heartbeat(&mut self, i: usize) {
+        if self.now < self.gateways[i].next_heartbeat {
             return;
         }
-        self.gateways[i].beat = self.now + BEAT;
+        self.gateways[i].next_heartbeat = self.now + HEARTBEAT_MS;
         let instant = self.instant();
         let gateway = &self.gateways[i];
-        let (told, turned_away) = (gateway.knowledge, gateway.turned_away);
-        let reading = gateway.clock.now(instant).expect("all know the clock");
+        let (sent, turned_away) = (gateway.knowledge, gateway.turned_away);
+        let reading = gateway.clock.now(instant).expect("every gateway has a clock reading");
         let others: Vec<usize> = (0..self.gateways.len()).filter(|n| *n != i).collect();
         for n in self.rng.choose_multiple(others, FAN_OUT) {
-            if !self.acts(n) || self.rng.u32(..LOST_ONE_IN) == 0 {
+            if !self.is_running(n) || self.rng.u32(..LOST_ONE_IN) == 0 {
                 continue;
             }
             self.deliveries.push((self.now, n, Delivery::Heartbeat { from: i }));
             let other = &mut self.gateways[n];
             other.heard[i] = Some((self.now, turned_away));
             other.clock.note(reading, instant);
-            other.knowledge.advance(told);
+            other.knowledge.advance(sent);
         }
     }
 }
--- a/tests/support/signals.rs
+++ b/tests/support/signals.rs
@@ -1,4 +1,4 @@
-//! What upstreams ask for in their answers, and whether they got it.
+//! Signals that upstreams give in their responses, and checks that gateways follow them.
 
 use std::{
     sync::{
@@ -14,38 +14,42 @@
 
 use super::gateways::{Call, Site};
 
-/// Between two calls of a caller.
-const PAUSE: Duration = Duration::from_millis(40);
+/// Pause between two calls of a caller.
+const CALL_PAUSE: Duration = Duration::from_millis(40);
 
-/// Span over which an upstream counts requests against its limit.
-const SPAN: Duration = Duration::from_secs(4);
-/// Share of the limit that is borne, and requests beyond it.
-const BORNE: (f64, f64) = (1.5, 5.0);
-/// Time from the first answer that names a limit until it holds.
+/// Window over which an upstream counts requests against its limit.
+const WINDOW: Duration = Duration::from_secs(4);
+/// Tolerated requests in a window: a multiple of the limit, and requests on top of it.
+const TOLERATED: (f64, f64) = (1.5, 5.0);
+/// Time from the first response that announces a limit until gateways must keep it.
 pub const HOLDS_AFTER: Duration = Duration::from_secs(3);
 
-/// Time from an answer that asks for rest until it holds.
+/// Time from a response that asks for a cooldown until gateways must keep it.
 pub const REST_HOLDS_AFTER: Duration = Duration::from_millis(500);
-/// Requests that are borne during a rest: some are on their way when it is asked for.
+/// Tolerated requests during a cooldown: some are in flight when it is asked for.
 pub const BORNE_DURING_REST: usize = 2;
-/// Time from an answer that says so until an upstream that leaves gets no requests.
+/// Time from a response that announces that the upstream is leaving until it must get no requests.
 pub const DRAINED_AFTER: Duration = Duration::from_secs(2);
 
 /// A request that reached an upstream.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     pub request: String,
+    /// Time by the emulator's clock.
     pub at: Duration,
+    /// Status of the response; 0 if there was none.
     pub status: u16,
 }
 
-/// An answer as a caller got it: from which gateway, how it ended, in which time, and when to
-/// come back.
+/// Result of a call.
 #[derive(Clone, Debug)]
 pub struct Got {
+    /// Index of the gateway that was called.
     pub gateway: usize,
+    /// Status of the response; `None` if the call failed without one.
     pub status: Option<StatusCode>,
     pub took: Duration,
+    /// Value of `retry-after`, in seconds.
     pub retry_after: Option<f64>,
 }
 
@@ -55,13 +59,13 @@
     }
 }
 
-/// Returns a call to an engine or a plain upstream.
+/// Returns call number `n`: a stream to an engine, or a request to a plain upstream.
 pub fn call(stream: bool, n: usize) -> Call {
     let id = format!("call-{n}");
     if stream { Call::stream("/plan/a", &id, 2) } else { Call::new("GET", "/check/a", &id) }
 }
 
-/// Calls all gateways, so many callers each, while `until` runs; returns what they got.
+/// Calls every gateway from `callers` concurrent callers while `until` runs; returns the results.
 pub fn keep_calling(site: &Site, callers: usize, stream: bool, until: impl FnOnce()) -> Vec<Got> {
     let (stop, sent, got) = (AtomicBool::new(false), AtomicUsize::new(0), Mutex::new(Vec::new()));
     thread::scope(|s| {
@@ -71,19 +75,19 @@
             s.spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
                     let n = sent.fetch_add(1, Ordering::Relaxed);
-                    let answer = ask(site, gateway, &call(stream, n));
-                    got.lock().expect("no caller panics").push(answer);
-                    thread::sleep(PAUSE);
+                    let answer = send_call(site, gateway, &call(stream, n));
+                    got.lock().expect("callers do not panic").push(answer);
+                    thread::sleep(CALL_PAUSE);
                 }
             });
         }
         until();
         stop.store(true, Ordering::Relaxed);
     });
-    got.into_inner().expect("no caller panics")
+    got.into_inner().expect("callers do not panic")
 }
 
-fn ask(site: &Site, gateway: usize, call: &Call) -> Got {
+fn send_call(site: &Site, gateway: usize, call: &Call) -> Got {
     let began = Instant::now();
     let answer = call.send(site.gateways[gateway].callers);
     let retry_after = answer.as_ref().and_then(|a| a.header("retry-after").parse().ok());
@@ -91,20 +95,20 @@
 }
 
 impl Site {
-    /// Lets an upstream add headers to all its answers.
+    /// Makes an upstream add headers to all its responses.
     pub fn signal(&self, id: &str, headers: &[(&str, &str)]) {
         let headers: serde_json::Map<String, Value> =
             headers.iter().map(|(name, value)| ((*name).to_owned(), json!(value))).collect();
         self.control("/signals", &json!({ "id": id, "headers": headers }));
     }
 
-    /// Returns the emulator's clock.
+    /// Returns the time by the emulator's clock.
     pub fn emulator_now(&self) -> Duration {
         Duration::from_millis(self.seen()["now_ms"].as_u64().unwrap_or_default())
     }
 }
 
-/// Returns what has reached an upstream, the earliest first.
+/// Returns the requests that reached an upstream, the earliest first.
 pub fn arrivals(seen: &Value, upstream: &str) -> Vec<Arrival> {
     let all = seen["arrivals"].as_array().cloned().unwrap_or_default();
     let of_upstream = all.iter().filter(|a| a["upstream"] == upstream);
@@ -119,22 +123,23 @@
     found
 }
 
-/// Returns the most requests of any span in which a limit is counted, between two moments.
+/// Returns the most requests in any window over which a limit is counted, between two times.
 pub fn most_in_a_span(arrivals: &[Arrival], from: Duration, until: Duration) -> usize {
     let counted: Vec<Duration> =
         arrivals.iter().map(|a| a.at).filter(|at| (from..until).contains(at)).collect();
-    let in_span =
-        |end: &Duration| counted.iter().filter(|at| **at <= *end && *end - **at < SPAN).count();
-    counted.iter().map(in_span).max().unwrap_or_default()
+    let in_window =
+        |end: &Duration| counted.iter().filter(|at| **at <= *end && *end - **at < WINDOW).count();
+    counted.iter().map(in_window).max().unwrap_or_default()
 }
 
-/// Returns how many requests an upstream that takes `rate` a second bears in a span.
+/// Returns the number of requests in a window that are tolerated with a limit of `rate` requests a
+/// second.
 pub fn borne(rate: f64) -> usize {
-    (BORNE.0 * rate * SPAN.as_secs_f64() + BORNE.1) as usize
+    (TOLERATED.0 * rate * WINDOW.as_secs_f64() + TOLERATED.1) as usize
 }
 
-/// Returns the most requests that reached an upstream during one of the rests that it asked
-/// for by turning requests away.
+/// Returns the most requests that reached an upstream during one of the cooldowns that it asked for
+/// by rejecting requests.
 pub fn most_during_a_rest(arrivals: &[Arrival], rest: Duration) -> usize {
     let during = |asked: &Arrival| {
         let span = asked.at + REST_HOLDS_AFTER..asked.at + rest;
--- a/tests/support/upstreams.rs
+++ b/tests/support/upstreams.rs
@@ -1,9 +1,9 @@
-//! An upstream's description, for tests of the board.
+//! Description of an upstream, for tests of the board.
 
 use tackhollow::gateway::model::{Upstream, UpstreamPhase};
 
-/// Returns the upstream `i-1` of the service `app`, as it describes itself in the lifetime that
-/// began at `born`.
+/// Returns the description of the upstream `i-1` of the service `app`, in the lifetime that began
+/// at `born`.
 pub fn upstream(phase: UpstreamPhase, born: u64) -> Upstream {
     Upstream {
         id: "i-1".to_owned(),
