--- a/src/gateway/controllers/crashes.rs
+++ b/src/gateway/controllers/crashes.rs
@@ -1,5 +1,5 @@
-//! Tells the other gateways of requests that crash upstreams, hears of them, and keeps
-//! the verdicts in the store, from which all gateways learn them after a loss of power.
+//! Exchanges what is known of requests that crash upstreams with the other gateways, and keeps the
+//! verdicts in the store, from which all gateways restore them after a loss of power.
 
 use std::{
     cell::Cell,
@@ -27,44 +27,44 @@
     telemetry::count,
 };
 
-/// Gateways that are told at once of what is new. The others hear it from them within a
-/// few heartbeats.
-const AT_ONCE: usize = 128;
-/// Pause between two messages that are sent at once, so that twenty requests that break
-/// off together make one.
-const AT_ONCE_PAUSE: Duration = Duration::from_millis(5);
-/// Every how many heartbeats the verdicts' mark is told where nothing is new: a gateway
-/// that was cut off learns within a second that it lacks some.
-const MARK_EVERY: u32 = 6;
-/// Between questions for the verdicts that this process lacks.
-const ASK_EVERY: Duration = Duration::from_millis(300);
-/// Between tries to write the verdicts to the store.
-const WRITE_EVERY: Duration = Duration::from_millis(500);
+/// Gateways that are sent new entries at once. The others hear of them from these within a few
+/// heartbeats.
+const IMMEDIATE_FAN_OUT: usize = 128;
+/// Shortest interval between two such messages, so that twenty requests that break off together
+/// make one.
+const MIN_IMMEDIATE_INTERVAL: Duration = Duration::from_millis(5);
+/// Heartbeats between two messages that carry only the fingerprint of the verdicts: a gateway that
+/// was cut off learns within a second that it lacks some.
+const HEARTBEATS_PER_FINGERPRINT: u32 = 6;
+/// Interval between requests for the verdicts that this process lacks.
+const FETCH_INTERVAL: Duration = Duration::from_millis(300);
+/// Interval between attempts to write the verdicts to the store.
+const WRITE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Controller of what is known of requests that crash upstreams.
+/// Controller for the gossip and the storage of what is known of requests that crash upstreams.
 #[derive(Debug)]
 pub struct Crashes {
     gateway: Rc<Gateway>,
     socket: Rc<UdpSocket>,
-    timer: stakker::MaxTimerKey,
-    at_once: stakker::MinTimerKey,
-    beats: u32,
+    heartbeat_timer: stakker::MaxTimerKey,
+    immediate_timer: stakker::MinTimerKey,
+    heartbeats: u32,
     number: u64,
-    sent: Option<Instant>,
-    asked: Option<Instant>,
+    last_sent: Option<Instant>,
+    last_fetch: Option<Instant>,
     fetching: Rc<Cell<bool>>,
     stored: Stored,
 }
 
-/// The row of verdicts in the store, as far as it is known here.
+/// The row of verdicts in the store, as this process last read or wrote it.
 #[derive(Clone, Copy, Debug, Default)]
 struct Stored {
-    /// Its revision; 0 for none.
+    /// Revision of the row; 0 if there is none.
     revision: Revision,
-    /// Mark of the verdicts in it.
-    mark: u64,
-    /// When it was last tried to be written.
-    tried: Option<Instant>,
+    /// Fingerprint of the verdicts in it.
+    fingerprint: u64,
+    /// When a write was last attempted.
+    last_attempt: Option<Instant>,
     writing: bool,
 }
 
@@ -75,12 +75,12 @@
         Some(Self {
             gateway,
             socket,
-            timer: stakker::MaxTimerKey::default(),
-            at_once: stakker::MinTimerKey::default(),
-            beats: 0,
+            heartbeat_timer: stakker::MaxTimerKey::default(),
+            immediate_timer: stakker::MinTimerKey::default(),
+            heartbeats: 0,
             number: 0,
-            sent: None,
-            asked: None,
+            last_sent: None,
+            last_fetch: None,
             fetching: Rc::default(),
             stored: Stored::default(),
         })
@@ -88,151 +88,162 @@
 
     fn tick(&mut self, cx: CX![]) {
         let now = cx.now();
-        timer_max!(&mut self.timer, now + HEARTBEAT_PERIOD, [cx], tick());
-        self.beats = self.beats.wrapping_add(1);
+        timer_max!(&mut self.heartbeat_timer, now + HEARTBEAT_PERIOD, [cx], tick());
+        self.heartbeats = self.heartbeats.wrapping_add(1);
         let mut board = self.gateway.board.borrow_mut();
         let silence = board.peer_silence();
-        board.crashes.forget(silence, now);
+        board.crashes.expire_copies(silence, now);
         let time = board.clock.unix_millis(now);
-        let changes = board.crashes.conclude(time, now);
+        let changes = board.crashes.judge_suspects(time, now);
         drop(board);
         self.gateway.note_verdicts(&changes, "own");
         self.send(HEARD_A_PERIOD, now);
-        self.store(now);
-        self.give_turn(now);
-        self.recall_from_peer(now);
+        self.write_verdicts(now);
+        self.grant_turn(now);
+        self.fetch_missing_verdicts(now);
     }
 
-    /// Asks any gateway for the verdicts while the store has not told them: this process
-    /// sends nothing before.
-    fn recall_from_peer(&mut self, now: Instant) {
+    /// Asks a random gateway for the verdicts until the store or a gateway has supplied them; this
+    /// process sends no requests to upstreams before.
+    fn fetch_missing_verdicts(&mut self, now: Instant) {
         let board = self.gateway.board.borrow();
-        let ask = !board.verdicts_known;
+        let missing = !board.verdicts_known;
         let heard: Vec<SocketAddr> = board.heard(now).map(|p| p.last.peers).collect();
         drop(board);
-        if let Some(from) = fastrand::choice(heard).filter(|_| ask) {
+        if let Some(from) = fastrand::choice(heard).filter(|_| missing) {
             self.fetch(from, now);
         }
     }
 
-    /// Tells the others at once.
+    /// Sends what is new to other gateways at once.
     pub fn tell_now(&mut self, cx: CX![]) {
         let now = cx.now();
-        let due = self.sent.map_or(now, |sent| sent + AT_ONCE_PAUSE);
+        let due = self.last_sent.map_or(now, |sent| sent + MIN_IMMEDIATE_INTERVAL);
         if due > now {
-            timer_min!(&mut self.at_once, due, [cx], tell_now());
+            timer_min!(&mut self.immediate_timer, due, [cx], tell_now());
             return;
         }
-        self.sent = Some(now);
-        self.send(AT_ONCE, now);
+        self.last_sent = Some(now);
+        self.send(IMMEDIATE_FAN_OUT, now);
     }
 
-    fn send(&mut self, most: usize, now: Instant) {
+    fn send(&mut self, max_receivers: usize, now: Instant) {
         let mut board = self.gateway.board.borrow_mut();
-        let news = board.crashes.news(now);
-        let Some(news) = news else {
+        let gossip = board.crashes.gossip(now);
+        let Some(gossip) = gossip else {
             return;
         };
         let heard: Vec<SocketAddr> = board.heard(now).map(|p| p.last.heartbeats).collect();
         drop(board);
-        let only_mark = CrashNews { mark: news.mark, ..CrashNews::default() } == news;
-        if only_mark && most == HEARD_A_PERIOD && !self.beats.is_multiple_of(MARK_EVERY) {
+        let only_fingerprint =
+            CrashNews { fingerprint: gossip.fingerprint, ..CrashNews::default() } == gossip;
+        if only_fingerprint
+            && max_receivers == HEARD_A_PERIOD
+            && !self.heartbeats.is_multiple_of(HEARTBEATS_PER_FINGERPRINT)
+        {
             return;
         }
-        let most = if only_mark { DIRECT } else { most };
-        self.send_to(news, false, &sample(&heard, most));
+        let max_receivers = if only_fingerprint { DIRECT } else { max_receivers };
+        self.send_to(gossip, false, &sample(&heard, max_receivers));
     }
 
-    /// Gives the next process its turn to try what is quarantined, as the holder of the
-    /// lease.
-    fn give_turn(&mut self, now: Instant) {
+    /// As the holder of the lease, grants the next process its turn to try quarantined requests.
+    fn grant_turn(&mut self, now: Instant) {
         let mut board = self.gateway.board.borrow_mut();
-        let gives = board.lease.may_act(now).is_some() && board.crashes.quarantined() > 0;
-        if !board.trial_turn.next_is_due(gives, now) {
+        let is_granter = board.lease.may_act(now).is_some() && board.crashes.quarantined() > 0;
+        if !board.trial_turn.is_grant_due(is_granter, now) {
             return;
         }
         let mut all: Vec<Option<SocketAddr>> =
             board.heard(now).map(|p| Some(p.last.heartbeats)).collect();
-        // This process has its turns, too.
+        // `None` stands for this process, which gets turns as well.
         all.push(None);
         match fastrand::choice(all).flatten() {
-            None => board.trial_turn.take(now),
+            None => board.trial_turn.start(now),
             Some(address) => {
-                let news = board.crashes.news(now).unwrap_or_default();
+                let gossip = board.crashes.gossip(now).unwrap_or_default();
                 drop(board);
-                self.send_to(news, true, &[address]);
+                self.send_to(gossip, true, &[address]);
             }
         }
     }
 
-    fn send_to(&mut self, news: CrashNews, your_turn: bool, addresses: &[SocketAddr]) {
+    fn send_to(&mut self, gossip: CrashNews, your_turn: bool, addresses: &[SocketAddr]) {
         self.number += 1;
         let peers = self.gateway.settings.borrow().listen.peers;
         let process = self.gateway.process.clone();
-        let notice = CrashNotice { process, peers, number: self.number, your_turn, news };
+        let notice = CrashNotice { process, peers, number: self.number, your_turn, news: gossip };
         let datagram = match notice.encode() {
             Ok(datagram) => datagram,
             Err(e) => {
-                log::error!("what is known of crashes cannot be encoded: {e}");
+                log::error!(
+                    "gossip about crashing requests cannot be encoded and is not sent: {e}"
+                );
                 return;
             }
         };
         for address in addresses {
             if let Err(e) = self.socket.try_send_to(&datagram, *address) {
-                // It is told again with the next heartbeats.
-                log::debug!("crashes to {address}: {e}");
+                // It is sent again with the next heartbeats.
+                log::debug!("sending gossip about crashing requests to {address} failed: {e}");
             }
         }
     }
 
-    /// Takes over what another gateway tells.
+    /// Merges a message from another gateway.
     pub fn hear(&mut self, cx: CX![], notice: CrashNotice) {
         if notice.process == self.gateway.process {
             return;
         }
         let now = cx.now();
-        let mark = notice.news.mark;
+        let fingerprint = notice.news.fingerprint;
         let mut board = self.gateway.board.borrow_mut();
         let time = board.clock.unix_millis(now);
-        let CrashNotice { process, peers, number, your_turn, news } = notice;
+        let CrashNotice { process, peers, number, your_turn, news: gossip } = notice;
         if your_turn {
-            board.trial_turn.take(now);
+            board.trial_turn.start(now);
         }
-        let changes = board.crashes.hear(&process, number, news, time, now);
-        let own = board.crashes.mark();
+        let changes = board.crashes.merge_gossip(&process, number, gossip, time, now);
+        let own_fingerprint = board.crashes.fingerprint();
         drop(board);
         self.gateway.note_verdicts(&changes, &process);
-        if mark != own && mark != 0 {
+        if fingerprint != own_fingerprint && fingerprint != 0 {
             self.fetch(peers, now);
         }
     }
 
-    /// Asks another gateway, which knows other verdicts, for all that it knows.
+    /// Fetches all verdicts from another gateway that knows different ones.
     fn fetch(&mut self, from: SocketAddr, now: Instant) {
-        let asked = self.asked.is_some_and(|t| now.saturating_duration_since(t) < ASK_EVERY);
-        if asked || self.fetching.replace(true) {
+        let fetched_recently =
+            self.last_fetch.is_some_and(|t| now.saturating_duration_since(t) < FETCH_INTERVAL);
+        if fetched_recently || self.fetching.replace(true) {
             return;
         }
-        self.asked = Some(now);
+        self.last_fetch = Some(now);
         let (gateway, fetching) = (self.gateway.clone(), self.fetching.clone());
         spawn_local(async move {
             if let Some(bytes) = ask(from, "/peer/quarantine").await {
                 match decode_verdicts(&bytes) {
                     Ok(verdicts) => {
                         gateway.tell(|c| {
-                            call!([c.crashes], take(verdicts, "peer"));
+                            call!([c.crashes], merge_verdicts(verdicts, "peer"));
                             call!([c.crashes], verdicts_known());
                         });
                     }
-                    Err(e) => log::error!("{from} told its verdicts unreadably: {e}"),
+                    Err(e) => log::error!("verdicts from gateway {from} cannot be decoded: {e}"),
                 }
             }
             fetching.set(false);
         });
     }
 
-    /// Takes over verdicts.
-    pub fn take(&mut self, cx: CX![], verdicts: Vec<VerdictReport>, source: &'static str) {
+    /// Merges verdicts; `source` says in the log where they come from.
+    pub fn merge_verdicts(
+        &mut self,
+        cx: CX![],
+        verdicts: Vec<VerdictReport>,
+        source: &'static str,
+    ) {
         let mut board = self.gateway.board.borrow_mut();
         let time = board.clock.unix_millis(cx.now());
         let changes = board.crashes.merge(verdicts, time, cx.now());
@@ -240,33 +251,35 @@
         self.gateway.note_verdicts(&changes, source);
     }
 
-    /// Takes over the verdicts in the store.
+    /// Merges the verdicts from the store.
     pub fn recalled(&mut self, cx: CX![], row: StoreRow) {
         match decode_verdicts(&row.value) {
             Ok(verdicts) => {
-                self.stored.mark = mark_of(&verdicts, cx.now());
-                self.take(cx, verdicts, "store");
+                self.stored.fingerprint = fingerprint_of(&verdicts, cx.now());
+                self.merge_verdicts(cx, verdicts, "store");
             }
-            // It is written anew with what is known here.
-            Err(e) => log::error!("the verdicts in the store are unreadable: {e}"),
+            // The row is written anew with what is known here.
+            Err(e) => log::error!("verdicts in the store cannot be decoded: {e}"),
         }
         self.stored.revision = row.revision;
     }
 
-    /// Notes that the store, or another gateway, has told the verdicts.
+    /// Records that the store, or another gateway, has supplied the verdicts.
     pub fn verdicts_known(&mut self, _: CX![]) {
         self.gateway.board.borrow_mut().verdicts_known = true;
     }
 
-    /// Writes the verdicts to the store if it has others, as the holder of the lease:
-    /// one of all gateways writes, and only when a verdict is new.
-    fn store(&mut self, now: Instant) {
+    /// Writes the verdicts to the store if they differ from the stored ones, as the holder of the
+    /// lease: a single gateway writes, and only when a verdict is new.
+    fn write_verdicts(&mut self, now: Instant) {
         let board = self.gateway.board.borrow();
-        let mark = board.crashes.mark();
+        let fingerprint = board.crashes.fingerprint();
         let may_write = board.lease.may_act(now).is_some();
-        let again =
-            self.stored.tried.is_none_or(|t| now.saturating_duration_since(t) >= WRITE_EVERY);
-        if mark == self.stored.mark || !may_write || self.stored.writing || !again {
+        let is_due = self
+            .stored
+            .last_attempt
+            .is_none_or(|t| now.saturating_duration_since(t) >= WRITE_INTERVAL);
+        if fingerprint == self.stored.fingerprint || !may_write || self.stored.writing || !is_due {
             return;
         }
         let value = encode_verdicts(&board.crashes.verdicts());
@@ -274,11 +287,13 @@
         let value = match value {
             Ok(value) => value,
             Err(e) => {
-                log::error!("the verdicts cannot be encoded: {e}");
+                log::error!(
+                    "verdicts on crashing requests cannot be encoded and are not stored: {e}"
+                );
                 return;
             }
         };
-        self.stored.tried = Some(now);
+        self.stored.last_attempt = Some(now);
         self.stored.writing = true;
         let expected = Some(self.stored.revision);
         let key = QUARANTINE_KEY.to_owned();
@@ -289,35 +304,40 @@
             gateway.note_store(outcome.as_ref().err());
             let call = if outcome.is_ok() { "quarantine" } else { "quarantine_failed" };
             count(&gateway.metrics.platform_calls, call);
-            gateway.tell(|c| call!([c.crashes], written(mark, outcome)));
+            gateway.tell(|c| call!([c.crashes], written(fingerprint, outcome)));
         });
     }
 
-    /// Takes over what became of a write.
-    pub fn written(&mut self, cx: CX![], mark: u64, outcome: Result<WriteOutcome, PlatformError>) {
+    /// Handles the outcome of a write.
+    pub fn written(
+        &mut self,
+        cx: CX![],
+        fingerprint: u64,
+        outcome: Result<WriteOutcome, PlatformError>,
+    ) {
         self.stored.writing = false;
         match outcome {
             Ok(WriteOutcome::Done(revision)) => {
                 self.stored.revision = revision;
-                self.stored.mark = mark;
+                self.stored.fingerprint = fingerprint;
             }
-            // Another holder has written: what it knew is added before the next try.
+            // Another holder has written: its verdicts are merged before the next attempt.
             Ok(WriteOutcome::Conflict(rows)) => {
                 match rows.into_iter().find(|r| r.key == QUARANTINE_KEY) {
                     Some(row) => self.recalled(cx, row),
                     None => self.stored.revision = 0,
                 }
-                self.stored.tried = None;
+                self.stored.last_attempt = None;
             }
-            // If it was done, the next try finds a conflict and the row.
-            Err(e) => log::debug!("the verdicts were not written: {e}"),
+            // If the write was done after all, the next attempt meets a conflict and gets the row.
+            Err(e) => log::debug!("writing the verdicts to the store failed: {e}"),
         }
     }
 }
 
-/// Returns the mark of these verdicts.
-fn mark_of(verdicts: &[VerdictReport], now: Instant) -> u64 {
-    let mut book = crate::gateway::decide::CrashBook::default();
-    book.merge(verdicts.to_vec(), 0, now);
-    book.mark()
+/// Returns the fingerprint of these verdicts.
+fn fingerprint_of(verdicts: &[VerdictReport], now: Instant) -> u64 {
+    let mut tracker = crate::gateway::decide::CrashBook::default();
+    tracker.merge(verdicts.to_vec(), 0, now);
+    tracker.fingerprint()
 }
--- a/src/gateway/decide/crashes/copies.rs
+++ b/src/gateway/decide/crashes/copies.rs
@@ -1,4 +1,5 @@
-//! Copies of requests that run now, here and at other processes.
+//! Copies of requests that are running, on this process and on others. A copy is one execution of a
+//! request at an upstream.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -12,83 +13,87 @@
     peering::ProcessId,
 };
 
-/// A copy of a suspect that runs.
+/// A running copy of a suspect or quarantined request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CopyReport(
-    /// What runs.
+    /// Digest of the request.
     pub RequestDigest,
-    /// Where, in one lifetime.
+    /// Upstream that runs it, in one lifetime.
     pub Lifetime,
 );
 
-/// What another process last told of its copies.
+/// The copies that another process last reported.
 #[derive(Debug)]
-struct Heard {
-    at: Instant,
-    /// Number of the message: datagrams overtake each other.
+struct RemoteCopies {
+    received: Instant,
+    /// Number of the message that reported them: datagrams may overtake each other.
     number: u64,
     copies: Vec<CopyReport>,
 }
 
-/// Copies of requests that run now.
+/// Copies of requests that are running.
 #[derive(Debug, Default)]
 pub struct Copies {
-    own: BTreeMap<RequestDigest, Vec<Lifetime>>,
-    others: HashMap<ProcessId, Heard>,
+    local: BTreeMap<RequestDigest, Vec<Lifetime>>,
+    remote: HashMap<ProcessId, RemoteCopies>,
 }
 
 impl Copies {
-    /// Counts a copy of this process.
+    /// Adds a copy of this process.
     pub fn begin(&mut self, digest: RequestDigest, lifetime: Lifetime) {
-        self.own.entry(digest).or_default().push(lifetime);
+        self.local.entry(digest).or_default().push(lifetime);
     }
 
-    /// Takes a copy of this process off.
+    /// Removes a copy of this process.
     pub fn end(&mut self, digest: RequestDigest, lifetime: Lifetime) {
-        let Some(lifetimes) = self.own.get_mut(&digest) else {
+        let Some(lifetimes) = self.local.get_mut(&digest) else {
             return;
         };
         if let Some(i) = lifetimes.iter().position(|l| *l == lifetime) {
             lifetimes.swap_remove(i);
         }
         if lifetimes.is_empty() {
-            self.own.remove(&digest);
+            self.local.remove(&digest);
         }
     }
 
-    /// Takes over what another process says of its copies; returns whether that is new.
-    pub fn hear(
+    /// Replaces the copies that another process reported, unless the message is older than one that
+    /// was already merged. Returns whether it was newer.
+    pub fn replace_remote(
         &mut self,
         process: &ProcessId,
         number: u64,
         copies: Vec<CopyReport>,
         now: Instant,
     ) -> bool {
-        if self.others.get(process).is_some_and(|known| known.number >= number) {
+        if self.remote.get(process).is_some_and(|known| known.number >= number) {
             return false;
         }
-        self.others.insert(process.clone(), Heard { at: now, number, copies });
+        self.remote.insert(process.clone(), RemoteCopies { received: now, number, copies });
         true
     }
 
-    /// Forgets processes that have not told of copies for so long.
-    pub fn forget(&mut self, silence: Duration, now: Instant) {
-        self.others.retain(|_, heard| now.saturating_duration_since(heard.at) < silence);
+    /// Drops the copies of processes that have reported none for at least `silence`.
+    pub fn expire_remote(&mut self, silence: Duration, now: Instant) {
+        self.remote
+            .retain(|_, reported| now.saturating_duration_since(reported.received) < silence);
     }
 
-    /// Returns the copies of this process that `matter`.
-    pub fn own(&self, matter: impl Fn(RequestDigest) -> bool) -> Vec<CopyReport> {
-        let matter = self.own.iter().filter(|(digest, _)| matter(**digest));
-        matter.flat_map(|(digest, at)| at.iter().map(|l| CopyReport(*digest, *l))).collect()
+    /// Returns the copies of this process whose requests pass `filter`.
+    pub fn local(&self, filter: impl Fn(RequestDigest) -> bool) -> Vec<CopyReport> {
+        let matching = self.local.iter().filter(|(digest, _)| filter(**digest));
+        matching
+            .flat_map(|(digest, lifetimes)| lifetimes.iter().map(|l| CopyReport(*digest, *l)))
+            .collect()
     }
 
-    /// Returns whether a copy runs anywhere, as far as is known.
+    /// Returns whether a copy is running on any process, as far as is known.
     pub fn is_running(&self, digest: RequestDigest) -> bool {
-        self.own.contains_key(&digest) || self.told().any(|c| c.0 == digest)
+        self.local.contains_key(&digest) || self.remote().any(|c| c.0 == digest)
     }
 
-    /// Returns the copies of which other processes have told.
-    pub fn told(&self) -> impl Iterator<Item = &CopyReport> {
-        self.others.values().flat_map(|heard| &heard.copies)
+    /// Returns the copies that other processes have reported.
+    pub fn remote(&self) -> impl Iterator<Item = &CopyReport> {
+        self.remote.values().flat_map(|reported| &reported.copies)
     }
 }
--- a/src/gateway/decide/crashes/mod.rs
+++ b/src/gateway/decide/crashes/mod.rs
@@ -1,24 +1,25 @@
-//! Requests that crash the upstreams that run them: which request explains the ends of
-//! upstreams that were seen, and whether it may be sent again.
+//! Detection of requests that crash the upstreams that run them ("queries of death"): which request
+//! explains the crashes that were seen, and whether it may be sent again.
 //!
-//! An upstream that ends takes all its requests with it, and most of them are innocent.
-//! What tells them apart is that one and the same stands at each end. Three errors are
-//! traded: upstreams lost to a request that is let run, innocents that wait for another
-//! copy of theirs, and innocents that are refused.
+//! A crash is here any end of an upstream process while it runs requests, whatever its cause. It
+//! takes all requests on that upstream with it, and most of them are innocent. The culprit is the
+//! one that was running at every crash. Three errors are traded against each other: upstreams lost
+//! to a culprit that is still allowed, innocent requests that wait for another copy of themselves,
+//! and innocent requests that are refused.
 
-mod book;
-mod breaks;
+mod completions;
 mod copies;
 mod evidence;
-mod news;
-mod proven;
+mod gossip;
+mod interrupted;
 mod quarantine;
+mod tracker;
 mod turn;
 
-pub use book::{Change, CrashBook, Permission};
-pub use breaks::{Break, Breaks};
 pub use copies::CopyReport;
 pub use evidence::SuspectReport;
-pub use news::CrashNews;
+pub use gossip::CrashNews;
+pub use interrupted::{Break, Breaks};
 pub use quarantine::{CrashVerdict, VerdictReport};
+pub use tracker::{Change, CrashBook, Permission};
 pub use turn::TrialTurn;
--- a/tests/gateway_crash_fleet.rs
+++ b/tests/gateway_crash_fleet.rs
@@ -1,38 +1,38 @@
-//! The book of requests that crash upstreams in a fleet: properties over many gateways
-//! whose messages are lost, late and twice, and which start anew.
+//! Property tests of the tracker of requests that crash upstreams, in a simulated fleet of gateways
+//! that restart and whose messages are lost, delayed and duplicated.
 
 mod support;
 
 use std::time::{Duration, Instant};
 
 use proptest::prelude::*;
-use support::crashes::{HOUR_MS, TIME, end, request, upstream};
+use support::crashes::{HOUR_MS, TIME, crash, request, upstream};
 use tackhollow::gateway::decide::{Break, CrashBook, CrashNews, Permission};
 
-/// A copy of a request that runs.
+/// A running copy of a request.
 #[derive(Clone, Debug)]
-struct Run {
+struct RunningCopy {
     gateway: usize,
     digest: u64,
     at: u64,
     until: u64,
 }
 
-/// A message on its way.
-struct Letter {
+/// A message in flight.
+struct Message {
     due: u64,
     to: usize,
     from: usize,
     number: u64,
-    news: CrashNews,
+    gossip: CrashNews,
 }
 
-/// Gateways before upstreams, in steps of [`STEP`].
+/// Gateways in front of upstreams, simulated in steps of [`STEP`].
 struct Fleet {
-    books: Vec<CrashBook>,
-    runs: Vec<Run>,
-    letters: Vec<Letter>,
-    /// Number of the next lifetime of an upstream.
+    trackers: Vec<CrashBook>,
+    copies: Vec<RunningCopy>,
+    messages: Vec<Message>,
+    /// Number of the next upstream lifetime.
     next_upstream: u64,
     upstreams: Vec<u64>,
     store: CrashBook,
@@ -40,27 +40,27 @@
     start: Instant,
     step: u64,
     number: u64,
-    /// When each upstream ended under the culprit, and when it was sent.
-    ends: Vec<u64>,
+    /// Steps at which an upstream crashed under the culprit, and at which the culprit was sent.
+    crashes: Vec<u64>,
     sends: Vec<u64>,
 }
 
-/// Length of a step: that of the time between two messages.
+/// Length of a step: the interval between two messages.
 const STEP: Duration = Duration::from_millis(150);
-/// Steps after the third end until all must know: three seconds.
-const KNOWN_WITHIN: u64 = 20;
-/// Innocents of which one may be held, while an upstream of four crashes by itself every
-/// four seconds: each stood at three ends by chance.
-const INNOCENTS_FOR_ONE_HELD: u64 = 250;
+/// Steps after the third crash within which all gateways must know the culprit: three seconds.
+const MAX_STEPS_UNTIL_KNOWN: u64 = 20;
+/// Innocent requests for each that may be quarantined, while one of four upstreams crashes by
+/// itself every four seconds: each was running at three crashes by chance.
+const INNOCENTS_PER_QUARANTINED: u64 = 250;
 /// The request that crashes upstreams; all others are innocent.
 const CULPRIT: u64 = 0;
 
 impl Fleet {
     fn new(gateways: usize, upstreams: u64, seed: u64) -> Self {
         Self {
-            books: (0..gateways).map(|_| CrashBook::default()).collect(),
-            runs: Vec::new(),
-            letters: Vec::new(),
+            trackers: (0..gateways).map(|_| CrashBook::default()).collect(),
+            copies: Vec::new(),
+            messages: Vec::new(),
             next_upstream: upstreams,
             upstreams: (0..upstreams).collect(),
             store: CrashBook::default(),
@@ -68,7 +68,7 @@
             start: Instant::now(),
             step: 0,
             number: 0,
-            ends: Vec::new(),
+            crashes: Vec::new(),
             sends: Vec::new(),
         }
     }
@@ -81,182 +81,194 @@
         TIME + self.step * STEP.as_millis() as u64
     }
 
-    /// Sends a request through a gateway, if it may be sent.
+    /// Sends a request through a gateway, if the gateway may send it.
     fn send(&mut self, gateway: usize, digest: u64) {
         let (now, time) = (self.now(), self.time());
         // The first gateway holds the lease.
         let may_try = gateway == 0;
-        let apart = match self.books[gateway].permission(request(digest), may_try, time, now) {
+        let apart = match self.trackers[gateway].permission(request(digest), may_try, time, now) {
             Permission::Free => false,
             Permission::Apart => true,
             Permission::Never | Permission::AfterCopy | Permission::Settles(_) => return,
         };
-        let risked = self.books[gateway].risked(apart);
-        let safe = |n: &&u64| !risked.contains(&upstream(**n));
-        let safe: Vec<u64> = self.upstreams.iter().filter(safe).copied().collect();
+        let at_risk = self.trackers[gateway].risked(apart);
+        let is_safe = |n: &&u64| !at_risk.contains(&upstream(**n));
+        let safe: Vec<u64> = self.upstreams.iter().filter(is_safe).copied().collect();
         let from = if safe.is_empty() { &self.upstreams } else { &safe };
         let at = from[self.rng.usize(..from.len())];
-        self.books[gateway].begin(request(digest), upstream(at), time, now);
-        let takes = if digest == CULPRIT { 1 } else { self.rng.u64(2..12) };
-        self.runs.push(Run { gateway, digest, at, until: self.step + takes });
+        self.trackers[gateway].begin(request(digest), upstream(at), time, now);
+        let steps = if digest == CULPRIT { 1 } else { self.rng.u64(2..12) };
+        self.copies.push(RunningCopy { gateway, digest, at, until: self.step + steps });
         if digest == CULPRIT {
             self.sends.push(self.step);
         }
     }
 
-    /// Ends runs that are due, and upstreams with all that they run.
-    fn end_runs(&mut self) {
+    /// Ends copies that are due; the culprit's crash their upstreams with everything that runs
+    /// there.
+    fn end_copies(&mut self) {
         let step = self.step;
-        let culprit = |r: &&Run| r.digest == CULPRIT && r.until <= step;
-        let crashed: Vec<u64> = self.runs.iter().filter(culprit).map(|r| r.at).collect();
+        let is_due_culprit = |c: &&RunningCopy| c.digest == CULPRIT && c.until <= step;
+        let crashed: Vec<u64> = self.copies.iter().filter(is_due_culprit).map(|c| c.at).collect();
         for at in crashed {
             if self.upstreams.contains(&at) {
-                self.ends.push(step);
-                self.end_upstream(at);
+                self.crashes.push(step);
+                self.crash_upstream(at);
             }
         }
-        let runs = std::mem::take(&mut self.runs);
-        let (over, running): (Vec<Run>, Vec<Run>) = runs.into_iter().partition(|r| r.until <= step);
-        self.runs = running;
+        let copies = std::mem::take(&mut self.copies);
+        let (ended, running): (Vec<RunningCopy>, Vec<RunningCopy>) =
+            copies.into_iter().partition(|c| c.until <= step);
+        self.copies = running;
         let (now, time) = (self.now(), self.time());
-        for run in over {
-            self.books[run.gateway].end(request(run.digest), upstream(run.at));
-            self.books[run.gateway].completed(request(run.digest), time, now);
+        for copy in ended {
+            self.trackers[copy.gateway].end(request(copy.digest), upstream(copy.at));
+            self.trackers[copy.gateway].completed(request(copy.digest), time, now);
         }
     }
 
-    fn end_upstream(&mut self, at: u64) {
+    fn crash_upstream(&mut self, at: u64) {
         let now = self.now();
-        let i = self.upstreams.iter().position(|n| *n == at).expect("it is up");
+        let i = self.upstreams.iter().position(|n| *n == at).expect("the upstream is running");
         self.upstreams[i] = self.next_upstream;
         self.next_upstream += 1;
-        let runs = std::mem::take(&mut self.runs);
-        let (lost, others): (Vec<Run>, Vec<Run>) = runs.into_iter().partition(|r| r.at == at);
-        self.runs = others;
-        for run in &lost {
-            let (digest, lifetime) = (request(run.digest), upstream(at));
-            self.books[run.gateway].end(digest, lifetime);
+        let copies = std::mem::take(&mut self.copies);
+        let (lost, others): (Vec<RunningCopy>, Vec<RunningCopy>) =
+            copies.into_iter().partition(|c| c.at == at);
+        self.copies = others;
+        for copy in &lost {
+            let (digest, lifetime) = (request(copy.digest), upstream(at));
+            self.trackers[copy.gateway].end(digest, lifetime);
             let customer = "temple".to_owned();
-            self.books[run.gateway].note_end(Break { digest, customer, lifetime }, now);
+            self.trackers[copy.gateway].note_end(Break { digest, customer, lifetime }, now);
         }
-        // Each goes on elsewhere, if it may.
-        lost.iter().for_each(|run| self.send(run.gateway, run.digest));
+        // Each is retried elsewhere, if it may be.
+        lost.iter().for_each(|copy| self.send(copy.gateway, copy.digest));
     }
 
-    /// Sends news, which are lost, late and twice, and delivers those that are due.
-    fn talk(&mut self, lost: f64) {
+    /// Sends gossip, some of it lost, delayed or duplicated, and delivers the messages that are
+    /// due.
+    fn exchange_gossip(&mut self, lost: f64) {
         let now = self.now();
-        for from in 0..self.books.len() {
-            self.books[from].forget(STEP * 6, now);
-            let Some(news) = self.books[from].news(now) else {
+        for from in 0..self.trackers.len() {
+            self.trackers[from].expire_copies(STEP * 6, now);
+            let Some(gossip) = self.trackers[from].gossip(now) else {
                 continue;
             };
             self.number += 1;
-            for to in (0..self.books.len()).filter(|to| *to != from) {
+            for to in (0..self.trackers.len()).filter(|to| *to != from) {
                 for _ in 0..self.rng.u8(1..3) {
                     if self.rng.f64() >= lost {
                         let due = self.step + self.rng.u64(..3);
-                        let (number, news) = (self.number, news.clone());
-                        self.letters.push(Letter { due, to, from, number, news });
+                        let (number, gossip) = (self.number, gossip.clone());
+                        self.messages.push(Message { due, to, from, number, gossip });
                     }
                 }
             }
         }
         let step = self.step;
-        let letters = std::mem::take(&mut self.letters);
-        let (due, later): (Vec<_>, Vec<_>) = letters.into_iter().partition(|l| l.due <= step);
-        self.letters = later;
-        for Letter { to, from, number, news, .. } in due {
+        let messages = std::mem::take(&mut self.messages);
+        let (due, later): (Vec<_>, Vec<_>) = messages.into_iter().partition(|m| m.due <= step);
+        self.messages = later;
+        for Message { to, from, number, gossip, .. } in due {
             let process = format!("g-{from}");
-            self.books[to].hear(&process, number, news, TIME, now);
+            self.trackers[to].merge_gossip(&process, number, gossip, TIME, now);
         }
     }
 
-    fn conclude(&mut self) {
+    fn judge_suspects(&mut self) {
         let (now, time) = (self.now(), self.time());
-        self.books.iter_mut().for_each(|book| drop(book.conclude(time, now)));
+        self.trackers.iter_mut().for_each(|tracker| drop(tracker.judge_suspects(time, now)));
     }
 
-    /// Keeps the verdicts of one gateway in the store.
-    fn keep(&mut self) {
+    /// Writes the verdicts of the first gateway to the store.
+    fn store_verdicts(&mut self) {
         let now = self.now();
-        let verdicts = self.books[0].verdicts();
+        let verdicts = self.trackers[0].verdicts();
         self.store.merge(verdicts, TIME, now);
     }
 
-    /// Starts a gateway anew: what it ran goes with it, and it knows what is stored.
+    /// Restarts a gateway: its copies are gone, and it knows only what is stored.
     fn restart(&mut self, gateway: usize) {
         let now = self.now();
-        self.runs.retain(|r| r.gateway != gateway);
-        self.books[gateway] = CrashBook::default();
-        self.books[gateway].merge(self.store.verdicts(), TIME, now);
+        self.copies.retain(|c| c.gateway != gateway);
+        self.trackers[gateway] = CrashBook::default();
+        self.trackers[gateway].merge(self.store.verdicts(), TIME, now);
     }
 
-    /// Returns whether some gateway sends a request to no upstream.
-    fn is_held(&self, digest: u64, time: u64) -> bool {
+    /// Returns whether any gateway refuses a request.
+    fn is_refused(&self, digest: u64, time: u64) -> bool {
         let now = self.now();
-        self.books
+        self.trackers
             .iter()
-            .any(|b| b.permission(request(digest), true, time, now) == Permission::Never)
+            .any(|t| t.permission(request(digest), true, time, now) == Permission::Never)
     }
 
-    /// Lets one gateway see a request run to a good end, and the others hear of it.
+    /// Lets one gateway see a request run to completion, and the others learn of it.
     fn complete(&mut self, digest: u64, time: u64) {
         let now = self.now();
-        self.books[0].completed(request(digest), time, now);
-        let verdicts = self.books[0].verdicts();
-        self.books.iter_mut().for_each(|book| drop(book.merge(verdicts.clone(), TIME, now)));
+        self.trackers[0].completed(request(digest), time, now);
+        let verdicts = self.trackers[0].verdicts();
+        self.trackers
+            .iter_mut()
+            .for_each(|tracker| drop(tracker.merge(verdicts.clone(), TIME, now)));
     }
 
     fn late_sends(&self) -> usize {
-        let Some(third) = self.ends.get(2) else {
+        let Some(third) = self.crashes.get(2) else {
             return 0;
         };
-        self.sends.iter().filter(|s| **s > third + KNOWN_WITHIN).count()
+        self.sends.iter().filter(|s| **s > third + MAX_STEPS_UNTIL_KNOWN).count()
     }
 }
 
-/// Three gateways of a fleet each see one end under the same request. How long until all
-/// gateways refuse it, with a tenth of the datagrams lost.
+/// Three gateways of a fleet each see one crash under the same request. Measures how long it takes
+/// until all gateways refuse it, with a tenth of the datagrams lost.
 #[test]
 fn all_gateways_know_within_a_second_at_every_size() {
-    /// Gateways that get a message at once, and with each heartbeat.
+    /// Gateways that are sent a message at once, and with each heartbeat.
     const FAN_OUT: [usize; 2] = [128, 24];
     const LOST: f64 = 0.1;
     for gateways in [7, 77, 195, 1_500] {
         let mut rng = fastrand::Rng::with_seed(gateways as u64);
-        let mut books: Vec<CrashBook> = (0..gateways).map(|_| CrashBook::default()).collect();
+        let mut trackers: Vec<CrashBook> = (0..gateways).map(|_| CrashBook::default()).collect();
         let start = Instant::now();
-        for (n, book) in books.iter_mut().take(3).enumerate() {
-            end(book, n as u64, &[1], start);
+        for (n, tracker) in trackers.iter_mut().take(3).enumerate() {
+            crash(tracker, n as u64, &[1], start);
         }
         let mut number = 0;
-        let all_know = |books: &[CrashBook], now| {
+        let all_know = |trackers: &[CrashBook], now| {
             let knows =
-                |b: &CrashBook| b.permission(request(1), true, TIME, now) == Permission::Never;
-            books.iter().all(knows)
+                |t: &CrashBook| t.permission(request(1), true, TIME, now) == Permission::Never;
+            trackers.iter().all(knows)
         };
-        let mut beats = 0;
-        let mut told_at_once = vec![false; gateways];
-        while !all_know(&books, start + STEP * beats) {
-            beats += 1;
-            assert!(beats < 100, "{gateways} gateways never know");
-            let now = start + STEP * beats;
+        let mut heartbeats = 0;
+        let mut sent_at_once = vec![false; gateways];
+        while !all_know(&trackers, start + STEP * heartbeats) {
+            heartbeats += 1;
+            assert!(heartbeats < 100, "{gateways} gateways never all know");
+            let now = start + STEP * heartbeats;
             for from in 0..gateways {
-                let Some(news) = books[from].news(now) else {
+                let Some(gossip) = trackers[from].gossip(now) else {
                     continue;
                 };
-                let most = FAN_OUT[usize::from(std::mem::replace(&mut told_at_once[from], true))];
+                let most = FAN_OUT[usize::from(std::mem::replace(&mut sent_at_once[from], true))];
                 number += 1;
                 for to in rng.choose_multiple(0..gateways, most) {
                     if to != from && rng.f64() >= LOST {
-                        books[to].hear(&format!("g-{from}"), number, news.clone(), TIME, now);
+                        trackers[to].merge_gossip(
+                            &format!("g-{from}"),
+                            number,
+                            gossip.clone(),
+                            TIME,
+                            now,
+                        );
                     }
                 }
             }
-            books.iter_mut().for_each(|book| drop(book.conclude(TIME, now)));
+            trackers.iter_mut().for_each(|tracker| drop(tracker.judge_suspects(TIME, now)));
         }
-        let took = STEP * beats;
+        let took = STEP * heartbeats;
         println!("{gateways} gateways: all know after {took:?}");
         assert!(took <= Duration::from_secs(1), "{gateways} gateways: {took:?}");
     }
@@ -265,11 +277,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), cases: 200, ..ProptestConfig::default() })]
 
-    /// Whatever is lost, late or restarted: once all must know it, a request under which
-    /// three upstreams ended is sent three times more at most, few innocents are held, and
-    /// none for good.
+    /// Whatever is lost, delayed or restarted: once all gateways must know it, a request under
+    /// which three upstreams crashed is sent at most three more times. Few innocent requests are
+    /// quarantined, and none for good.
     #[test]
-    fn a_culprit_is_found_and_no_innocent_is_held(
+    fn a_culprit_is_found_and_few_innocent_requests_are_refused(
         seed in any::<u64>(),
         gateways in 2_usize..12,
         upstreams in 4_u64..20,
@@ -292,28 +304,28 @@
                 let gateway = fleet.rng.usize(..gateways);
                 fleet.send(gateway, CULPRIT);
             }
-            fleet.end_runs();
+            fleet.end_copies();
             if fleet.rng.f64() < crashes {
                 let at = fleet.upstreams[fleet.rng.usize(..fleet.upstreams.len())];
-                fleet.end_upstream(at);
+                fleet.crash_upstream(at);
             }
-            fleet.talk(lost);
-            fleet.conclude();
-            fleet.keep();
+            fleet.exchange_gossip(lost);
+            fleet.judge_suspects();
+            fleet.store_verdicts();
             if fleet.rng.f64() < restarts {
                 let gateway = fleet.rng.usize(..gateways);
                 fleet.restart(gateway);
             }
         }
-        prop_assert!(fleet.late_sends() <= 3, "{} sends too late", fleet.late_sends());
-        let held: Vec<u64> = (1..next_innocent).filter(|n| fleet.is_held(*n, fleet.time())).collect();
-        let (most, held_count) = (next_innocent / INNOCENTS_FOR_ONE_HELD, held.len() as u64);
-        prop_assert!(held_count <= most, "{held_count} of {next_innocent} innocents are held");
-        for n in held {
+        prop_assert!(fleet.late_sends() <= 3, "{} sends of the culprit too late", fleet.late_sends());
+        let refused: Vec<u64> = (1..next_innocent).filter(|n| fleet.is_refused(*n, fleet.time())).collect();
+        let (max_refused, refused_count) = (next_innocent / INNOCENTS_PER_QUARANTINED, refused.len() as u64);
+        prop_assert!(refused_count <= max_refused, "{refused_count} of {next_innocent} innocent requests are refused");
+        for n in refused {
             let later = fleet.time() + HOUR_MS;
-            prop_assert!(!fleet.is_held(n, later), "request {n} is held for good");
+            prop_assert!(!fleet.is_refused(n, later), "request {n} is refused for good");
             fleet.complete(n, later);
-            prop_assert!(!fleet.is_held(n, later), "request {n} is held after a good end");
+            prop_assert!(!fleet.is_refused(n, later), "request {n} is refused after a completion");
         }
     }
 }
--- a/tests/gateway_crash_messages.rs
+++ b/tests/gateway_crash_messages.rs
@@ -1,5 +1,5 @@
-//! Messages about requests that crash upstreams: they come back as they went, are told
-//! apart from heartbeats, and keep their bounds.
+//! Messages about requests that crash upstreams: they survive encoding and decoding, are told apart
+//! from heartbeats, and keep within their size limits.
 
 use tackhollow::gateway::{
     decide::{CrashBook, CrashNews, CrashVerdict, SuspectReport, VerdictReport},
@@ -15,7 +15,7 @@
     let suspect = |n| SuspectReport {
         digest: request(n),
         customer: "temple-fairs".to_owned(),
-        ends: vec![Lifetime::new(&format!("i-{n}"), Some(1_700_000_000_000))],
+        crashes: vec![Lifetime::new(&format!("i-{n}"), Some(1_700_000_000_000))],
     };
     CrashNotice {
         process: "frontend-bkk-bangna-1.7f3a91c2d07be2a3".to_owned(),
@@ -33,40 +33,44 @@
 }
 
 #[test]
-fn notices_come_back_as_they_went() {
+fn notices_survive_encoding_and_decoding() {
     struct Case {
         name: &'static str,
         suspects: u64,
-        /// Most bytes that it takes: one packet holds 1,400.
-        most: usize,
+        /// Largest size in bytes; one packet holds 1,400.
+        max_bytes: usize,
     }
     let cases = [
-        Case { name: "nothing but the sender", suspects: 0, most: 70 },
-        Case { name: "one end of an upstream at seven gateways", suspects: 10, most: 500 },
-        Case { name: "as much as is told at once", suspects: 64, most: 2_800 },
+        Case { name: "no suspects", suspects: 0, max_bytes: 70 },
+        Case {
+            name: "suspects of one crash, seen by seven gateways",
+            suspects: 10,
+            max_bytes: 500,
+        },
+        Case { name: "the largest number of suspects", suspects: 64, max_bytes: 2_800 },
     ];
     for case in cases {
         let notice = notice(case.suspects);
         let bytes = notice.encode().expect(case.name);
         println!("{}: {} bytes", case.name, bytes.len());
-        assert!(bytes.len() <= case.most, "{}: {} bytes", case.name, bytes.len());
+        assert!(bytes.len() <= case.max_bytes, "{}: {} bytes", case.name, bytes.len());
         let read = Datagram::decode(&bytes).expect(case.name);
         assert_eq!(read, Datagram::Crashes(notice), "{}", case.name);
     }
 }
 
 #[test]
-fn what_is_no_message_is_said_so() {
+fn malformed_messages_are_rejected() {
     struct Case {
         name: &'static str,
         bytes: Vec<u8>,
     }
-    let mut cut = notice(3).encode().expect("a notice");
-    cut.truncate(cut.len() / 2);
+    let mut truncated = notice(3).encode().expect("a notice");
+    truncated.truncate(truncated.len() / 2);
     let cases = [
         Case { name: "empty", bytes: vec![] },
-        Case { name: "another format", bytes: vec![200, 1, 2] },
-        Case { name: "cut off", bytes: cut },
+        Case { name: "unknown format", bytes: vec![200, 1, 2] },
+        Case { name: "truncated", bytes: truncated },
     ];
     for case in cases {
         assert!(Datagram::decode(&case.bytes).is_err(), "{}", case.name);
@@ -75,16 +79,17 @@
     }
 }
 
-/// As many verdicts as are kept fit into one row of the platform's store, in base64.
+/// The largest number of verdicts that is kept fits into one row of the platform's store, in
+/// base64.
 #[test]
-fn all_verdicts_fit_into_a_row() {
+fn the_largest_number_of_verdicts_fits_into_a_row() {
     const ROW_BYTES: usize = 65_536;
-    let mut book = CrashBook::default();
+    let mut tracker = CrashBook::default();
     let now = std::time::Instant::now();
     for n in 0..5_000 {
-        book.merge(vec![verdict(n, &format!("customer-{}", n % 100))], 0, now);
+        tracker.merge(vec![verdict(n, &format!("customer-{}", n % 100))], 0, now);
     }
-    let verdicts = book.verdicts();
+    let verdicts = tracker.verdicts();
     let bytes = encode_verdicts(&verdicts).expect("verdicts");
     println!("{} verdicts: {} bytes", verdicts.len(), bytes.len());
     assert!(bytes.len().div_ceil(3) * 4 <= ROW_BYTES, "{} bytes", bytes.len());
--- a/tests/request_digest.rs
+++ b/tests/request_digest.rs
@@ -1,5 +1,5 @@
-//! The digest of a request: the same when it comes again, another when anything differs
-//! that an upstream could tell.
+//! Digest of a request: equal when the same request is sent again, different when anything differs
+//! that an upstream could notice.
 
 use tackhollow::gateway::model::RequestDigest;
 
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn only_the_same_request_has_the_same_digest() {
+fn equal_digests_mean_equal_requests() {
     struct Case {
         name: &'static str,
         parts: [&'static str; 5],
@@ -38,7 +38,7 @@
             same: false,
         },
         Case {
-            name: "the same text, divided elsewhere",
+            name: "the same text, split at another place",
             parts: ["temple", "POST", "assistant.example/plan", "/7?draft=1", "prompt"],
             same: false,
         },
@@ -48,9 +48,9 @@
     }
 }
 
-/// Gateways of several versions compare digests: they must not change.
+/// Gateways of different versions compare digests, so they must not change.
 #[test]
-fn the_digest_is_the_same_in_every_version() {
+fn digests_do_not_change_between_versions() {
     let known = digest(["temple", "POST", "assistant.example", "/plan/7", "prompt"]);
     assert_eq!(known.to_string(), "4568fd5461ff91bd0fdc13740ed5069d");
 }
--- a/tests/support/crashes.rs
+++ b/tests/support/crashes.rs
@@ -1,4 +1,4 @@
-//! Names of requests and upstreams for the tests of the book of crashing requests.
+//! Requests and upstreams for the tests of the crash tracker.
 
 use std::time::{Duration, Instant};
 
@@ -7,7 +7,7 @@
     model::{Lifetime, RequestDigest},
 };
 
-/// Unix time at which everything begins, in milliseconds.
+/// Unix time in milliseconds at which the tests start.
 pub const TIME: u64 = 1_700_000_000_000;
 pub const HOUR_MS: u64 = 3_600_000;
 
@@ -19,15 +19,15 @@
     Lifetime::new(&format!("i-{n}"), Some(TIME))
 }
 
-/// Time after which nobody tells of an end any more.
+/// Time after which all processes have reported a crash.
 pub const SETTLED: Duration = Duration::from_secs(1);
 
-/// Notes that `upstream` ended under these requests of one customer.
-pub fn end(book: &mut CrashBook, at: u64, under: &[u64], now: Instant) {
-    let broken = |n: &u64| Break {
+/// Records that upstream `at` crashed under these requests of one customer.
+pub fn crash(tracker: &mut CrashBook, at: u64, running: &[u64], now: Instant) {
+    let attempt = |n: &u64| Break {
         digest: request(*n),
         customer: "temple".to_owned(),
         lifetime: upstream(at),
     };
-    under.iter().map(broken).for_each(|b| book.note_end(b, now));
+    running.iter().map(attempt).for_each(|a| tracker.note_end(a, now));
 }
