--- a/src/gateway/controllers/rollouts.rs
+++ b/src/gateway/controllers/rollouts.rs
@@ -1,5 +1,5 @@
-//! Roll-outs: takes over orders, ends those of bad versions, and tells the operator, as the
-//! holder of the lease.
+//! Carries out roll-outs: reads orders, rolls bad versions back and, as the holder of the lease,
+//! lets traffic move and writes the status for the operator.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -27,30 +27,31 @@
     telemetry::count,
 };
 
-/// Between looks at the evidence.
-const PERIOD: Duration = Duration::from_millis(150);
-/// For how long nothing may run at the earlier versions before they may stop: what the other
-/// processes run there is known with some delay.
-const AT_REST: Duration = Duration::from_millis(900);
-/// Pause before a call to the store that failed is made again.
-const AGAIN: Duration = Duration::from_millis(400);
+/// Interval at which the evidence is evaluated.
+const JUDGING_INTERVAL: Duration = Duration::from_millis(150);
+/// Time for which nothing may be running at the earlier versions before they may stop: requests of
+/// other processes there become known with some delay.
+const IDLE_BEFORE_COMPLETION: Duration = Duration::from_millis(900);
+/// Delay before a failed call to the store is repeated.
+const RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// What must outlive the processes of an order: when it was first seen.
+/// What has to survive a restart of the gateways: when an order was first seen. Written as JSON.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct KeptOrder {
+struct StoredStart {
     revision: Revision,
     started: StoreMillis,
 }
 
-/// An order that was read, until it is known whether it has ended before.
+/// An order that was read and is not yet in force: the status rows may say that its roll-out has
+/// already ended.
 #[derive(Clone, Debug)]
-struct Unconfirmed {
+struct PendingOrder {
     document: RolloutDocument,
     revision: Revision,
     seen: StoreMillis,
 }
 
-/// The row that the operator reads of a roll-out.
+/// The status row of a roll-out, which the operator reads.
 #[derive(Clone, Debug)]
 struct StatusRow {
     revision: Revision,
@@ -63,17 +64,17 @@
 pub struct Rollouts {
     gateway: Rc<Gateway>,
     timer: stakker::MaxTimerKey,
-    unconfirmed: BTreeMap<ServiceName, Unconfirmed>,
-    /// Rows as they were last read or written here; `None` while they are not known.
+    pending: BTreeMap<ServiceName, PendingOrder>,
+    /// Status rows as last read or written by this process; `None` if they have to be read anew.
     rows: Option<BTreeMap<ServiceName, StatusRow>>,
-    kept: BTreeMap<ServiceName, KeptOrder>,
-    /// Since when nothing runs at the earlier versions.
-    at_rest: BTreeMap<ServiceName, Instant>,
-    /// Orders that cannot be read, each told once.
-    unreadable: BTreeSet<(ServiceName, Revision)>,
-    /// Whether a call to the store is on its way.
-    busy: bool,
-    /// When the next call may be made.
+    stored_starts: BTreeMap<ServiceName, StoredStart>,
+    /// When the earlier versions of a service became idle.
+    idle_since: BTreeMap<ServiceName, Instant>,
+    /// Orders that could not be decoded, each of them logged once.
+    rejected: BTreeSet<(ServiceName, Revision)>,
+    /// Whether a call to the store is in flight.
+    call_in_flight: bool,
+    /// Earliest time of the next call.
     next_call: Instant,
 }
 
@@ -84,17 +85,17 @@
         Some(Self {
             gateway,
             timer: stakker::MaxTimerKey::default(),
-            unconfirmed: BTreeMap::new(),
+            pending: BTreeMap::new(),
             rows: None,
-            kept: BTreeMap::new(),
-            at_rest: BTreeMap::new(),
-            unreadable: BTreeSet::new(),
-            busy: false,
+            stored_starts: BTreeMap::new(),
+            idle_since: BTreeMap::new(),
+            rejected: BTreeSet::new(),
+            call_in_flight: false,
             next_call: cx.now(),
         })
     }
 
-    /// Takes over an order as read from the store.
+    /// Handles an order that was read from the store.
     pub fn ordered(&mut self, cx: CX![], row: StoreRow) {
         let Some(service) = rollout_service(&row.key).map(str::to_owned) else {
             return;
@@ -116,16 +117,16 @@
         }
         let seen = board.store_time(cx.now());
         drop(board);
-        let known = self.unconfirmed.get(&service).is_some_and(|u| u.revision >= row.revision);
+        let known = self.pending.get(&service).is_some_and(|p| p.revision >= row.revision);
         if !known {
-            let unconfirmed = Unconfirmed { document, revision: row.revision, seen };
-            self.unconfirmed.insert(service, unconfirmed);
+            let pending = PendingOrder { document, revision: row.revision, seen };
+            self.pending.insert(service, pending);
             self.read_rows(cx.now());
         }
     }
 
     fn reject(&mut self, service: ServiceName, row: &StoreRow, error: &str) {
-        if self.unreadable.insert((service.clone(), row.revision)) {
+        if self.rejected.insert((service.clone(), row.revision)) {
             self.gateway.log(&Event::RolloutRejected {
                 service: &service,
                 error,
@@ -134,9 +135,9 @@
         }
     }
 
-    /// Notes that the order of a service is gone: its traffic stays where it was.
+    /// Handles the removal of a service's order from the store: its roll-out is rolled back.
     pub fn withdrawn(&mut self, cx: CX![], service: ServiceName, revision: Revision) {
-        self.unconfirmed.remove(&service);
+        self.pending.remove(&service);
         let mut board = self.gateway.board.borrow_mut();
         let Some(order) = board.rollouts.order(&service).cloned() else {
             return;
@@ -154,8 +155,8 @@
 
     fn tick(&mut self, cx: CX![]) {
         let now = cx.now();
-        timer_max!(&mut self.timer, now + PERIOD, [cx], tick());
-        if !self.unconfirmed.is_empty() {
+        timer_max!(&mut self.timer, now + JUDGING_INTERVAL, [cx], tick());
+        if !self.pending.is_empty() {
             self.read_rows(now);
         }
         let mut board = self.gateway.board.borrow_mut();
@@ -164,8 +165,8 @@
         let services: Vec<ServiceName> = board.rollouts.services().cloned().collect();
         let earlier: BTreeSet<ServiceName> =
             services.into_iter().filter(|s| board.has_earlier(s)).collect();
-        let ended = board.rollouts.take_back(time, |service| earlier.contains(service));
-        let moved = if holder { board.rollouts.let_move(time) } else { Vec::new() };
+        let ended = board.rollouts.roll_back(time, |service| earlier.contains(service));
+        let moved = if holder { board.rollouts.start_moving(time) } else { Vec::new() };
         let views: Vec<RolloutView> = board.rollouts.views(time).collect();
         drop(board);
         for RolloutChange { view, cause } in ended.iter().chain(&moved) {
@@ -174,9 +175,9 @@
         if !(ended.is_empty() && moved.is_empty()) {
             self.gateway.tell(|c| call!([c.peers], tell_now()));
         }
-        self.note_rest(&views, &earlier, now);
+        self.update_idle(&views, &earlier, now);
         if holder {
-            self.tell_operator(&views, now);
+            self.write_due_status(&views, now);
         }
     }
 
@@ -196,30 +197,36 @@
         });
     }
 
-    /// Notes since when nothing runs at the earlier versions, where all traffic has moved or
-    /// the new version alone is there.
-    fn note_rest(&mut self, views: &[RolloutView], earlier: &BTreeSet<ServiceName>, now: Instant) {
+    /// Updates since when nothing runs at the earlier versions, for the services whose traffic has
+    /// all moved or that have no earlier version left.
+    fn update_idle(
+        &mut self,
+        views: &[RolloutView],
+        earlier: &BTreeSet<ServiceName>,
+        now: Instant,
+    ) {
         let board = self.gateway.board.borrow();
         let has_moved = |v: &RolloutView| {
             let service = &v.order.service;
             let alone = !earlier.contains(service) && board.serving(service).next().is_some();
             v.stage == RolloutStage::Moving(1.0) || alone
         };
-        self.at_rest
+        self.idle_since
             .retain(|service, _| views.iter().any(|v| v.order.service == *service && has_moved(v)));
         for view in views.iter().filter(|v| has_moved(v)) {
             let service = &view.order.service;
             match board.running_at_earlier(service) {
-                0 => drop(self.at_rest.entry(service.clone()).or_insert(now)),
-                _ => drop(self.at_rest.remove(service)),
+                0 => drop(self.idle_since.entry(service.clone()).or_insert(now)),
+                _ => drop(self.idle_since.remove(service)),
             }
         }
     }
 
-    /// Returns the state that the operator should read of a roll-out.
-    fn state(&self, view: &RolloutView, now: Instant) -> RolloutState {
-        let at_rest = self.at_rest.get(&view.order.service);
-        let is_over = at_rest.is_some_and(|t| now.saturating_duration_since(*t) >= AT_REST);
+    /// Returns the state to be written for the operator.
+    fn status_state(&self, view: &RolloutView, now: Instant) -> RolloutState {
+        let idle_since = self.idle_since.get(&view.order.service);
+        let is_over =
+            idle_since.is_some_and(|t| now.saturating_duration_since(*t) >= IDLE_BEFORE_COMPLETION);
         match view.stage {
             RolloutStage::Ended(RolloutEnd::RolledBack) => RolloutState::RolledBack,
             RolloutStage::Ended(RolloutEnd::Completed) => RolloutState::Completed,
@@ -228,35 +235,36 @@
         }
     }
 
-    /// Writes what has changed for the operator.
-    fn tell_operator(&mut self, views: &[RolloutView], now: Instant) {
+    /// Writes the first status row that is out of date.
+    fn write_due_status(&mut self, views: &[RolloutView], now: Instant) {
         let due: Vec<(RolloutView, RolloutState)> =
-            views.iter().map(|v| (v.clone(), self.state(v, now))).collect();
+            views.iter().map(|v| (v.clone(), self.status_state(v, now))).collect();
         let Some(rows) = &self.rows else {
             if !due.is_empty() {
                 self.read_rows(now);
             }
             return;
         };
-        let told = |view: &RolloutView, state: RolloutState| {
+        let is_written = |view: &RolloutView, state: RolloutState| {
             let row = rows.get(&view.order.service);
             row.is_some_and(|r| {
                 let same = r.state == state && r.destination == view.order.destination;
                 same && r.revision > view.order.revision
             })
         };
-        let next = due.into_iter().find(|(view, state)| !told(view, *state));
-        if let Some((view, state)) = next.filter(|_| !self.busy && now >= self.next_call) {
-            self.write(&view, state);
+        let next = due.into_iter().find(|(view, state)| !is_written(view, *state));
+        if let Some((view, state)) = next.filter(|_| !self.call_in_flight && now >= self.next_call)
+        {
+            self.write_status(&view, state);
         }
     }
 
-    fn write(&mut self, view: &RolloutView, state: RolloutState) {
+    fn write_status(&mut self, view: &RolloutView, state: RolloutState) {
         let RolloutOrder { service, destination, revision, started, .. } = view.order.clone();
         let rows = self.rows.iter().flatten();
         let known = rows.filter(|(s, _)| **s == service).map(|(_, row)| row.revision).next();
         let key = rollout_key(&service);
-        let kept = KeptOrder { revision, started };
+        let start = StoredStart { revision, started };
         let writes = vec![
             RowWrite {
                 table: Table::Status,
@@ -267,15 +275,15 @@
             RowWrite {
                 table: Table::Duties,
                 key,
-                value: serde_json::to_vec(&kept).expect("numbers always encode"),
+                value: serde_json::to_vec(&start).expect("numbers always encode"),
                 expected: None,
             },
         ];
-        self.busy = true;
+        self.call_in_flight = true;
         let gateway = self.gateway.clone();
         spawn_local(async move {
             let began = clock::now();
-            // The lease may have ended since, and another holder may have decided otherwise.
+            // The lease may have expired meanwhile, and another holder may have decided otherwise.
             let outcome = match gateway.board.borrow().lease.may_act(began) {
                 Some(_) => None,
                 None => Some(Err(PlatformError::LeaseLost)),
@@ -294,7 +302,7 @@
         });
     }
 
-    /// Takes over what became of a write.
+    /// Handles the outcome of a write.
     pub fn written(
         &mut self,
         cx: CX![],
@@ -304,11 +312,11 @@
         destination: String,
         outcome: Result<WriteOutcome, PlatformError>,
     ) {
-        self.busy = false;
+        self.call_in_flight = false;
         let Ok(WriteOutcome::Done(revision)) = outcome else {
-            // Only the rows can tell what stands there.
+            // The row may or may not have been written, so all rows are read anew.
             self.rows = None;
-            self.next_call = cx.now() + AGAIN;
+            self.next_call = cx.now() + RETRY_DELAY;
             return;
         };
         let row = StatusRow { revision, state, destination };
@@ -328,41 +336,41 @@
         self.gateway.tell(|c| call!([c.peers], tell_now()));
     }
 
-    /// Reads the rows about roll-outs that this system has written.
+    /// Reads the status rows, and the rows with the start of each order.
     fn read_rows(&mut self, now: Instant) {
-        if self.busy || now < self.next_call {
+        if self.call_in_flight || now < self.next_call {
             return;
         }
-        self.busy = true;
+        self.call_in_flight = true;
         let gateway = self.gateway.clone();
         spawn_local(async move {
             let began = clock::now();
             let status = gateway.store.snapshot(Table::Status).await;
             note(&gateway, "rollout_read", began, status.as_ref().err());
-            let kept = match &status {
+            let starts = match &status {
                 Ok(_) => gateway.store.snapshot(Table::Duties).await,
                 Err(_) => Err(PlatformError::Timeout),
             };
-            let rows = status.and_then(|status| Ok((status.rows, kept?.rows)));
+            let rows = status.and_then(|status| Ok((status.rows, starts?.rows)));
             gateway.tell(|c| call!([c.rollouts], rows_read(rows)));
         });
     }
 
-    /// Takes over the rows about roll-outs as read.
+    /// Handles the rows that were read.
     pub fn rows_read(
         &mut self,
         cx: CX![],
         read: Result<(Vec<StoreRow>, Vec<StoreRow>), PlatformError>,
     ) {
-        self.busy = false;
-        let Ok((status, kept)) = read else {
-            self.next_call = cx.now() + AGAIN;
+        self.call_in_flight = false;
+        let Ok((status, starts)) = read else {
+            self.next_call = cx.now() + RETRY_DELAY;
             return;
         };
         self.rows = Some(status.iter().filter_map(status_row).collect());
-        self.kept.extend(kept.iter().filter_map(kept_order));
-        for (service, unconfirmed) in std::mem::take(&mut self.unconfirmed) {
-            self.confirm(&service, unconfirmed, cx.now());
+        self.stored_starts.extend(starts.iter().filter_map(stored_start));
+        for (service, pending) in std::mem::take(&mut self.pending) {
+            self.put_in_force(&service, pending, cx.now());
         }
         let orders: Vec<RolloutOrder> = {
             let board = self.gateway.board.borrow();
@@ -370,18 +378,18 @@
             services.filter_map(|s| board.rollouts.order(s).cloned()).collect()
         };
         for order in &orders {
-            if let Some(end) = self.ended_before(order) {
+            if let Some(end) = self.stored_end(order) {
                 let mut board = self.gateway.board.borrow_mut();
                 board.rollouts.end(&order.service, order.revision, end);
             }
         }
     }
 
-    /// Takes over an order, as it stands after what the rows say.
-    fn confirm(&mut self, service: &ServiceName, unconfirmed: Unconfirmed, now: Instant) {
-        let Unconfirmed { document, revision, seen } = unconfirmed;
-        let kept = self.kept.get(service).filter(|k| k.revision == revision);
-        let started = kept.map_or(seen, |k| k.started.min(seen));
+    /// Puts an order into force, started at the earliest time known.
+    fn put_in_force(&mut self, service: &ServiceName, pending: PendingOrder, now: Instant) {
+        let PendingOrder { document, revision, seen } = pending;
+        let stored = self.stored_starts.get(service).filter(|s| s.revision == revision);
+        let started = stored.map_or(seen, |s| s.started.min(seen));
         let RolloutDocument { destination, duration, .. } = document;
         let service = service.clone();
         let order = RolloutOrder { service, destination, duration, revision, started };
@@ -395,27 +403,28 @@
         self.gateway.tell(|c| call!([c.peers], tell_now()));
     }
 
-    /// Returns how an order ended, if a row says so that was written after it.
-    fn ended_before(&self, order: &RolloutOrder) -> Option<RolloutEnd> {
+    /// Returns how the roll-out of an order ended, if a status row written after the order says so.
+    fn stored_end(&self, order: &RolloutOrder) -> Option<RolloutEnd> {
         let row = self.rows.as_ref()?.get(&order.service)?;
-        let of_order = row.revision > order.revision && row.destination == order.destination;
+        let is_of_order = row.revision > order.revision && row.destination == order.destination;
         match row.state {
-            RolloutState::Completed if of_order => Some(RolloutEnd::Completed),
-            RolloutState::RolledBack if of_order => Some(RolloutEnd::RolledBack),
+            RolloutState::Completed if is_of_order => Some(RolloutEnd::Completed),
+            RolloutState::RolledBack if is_of_order => Some(RolloutEnd::RolledBack),
             RolloutState::Running | RolloutState::Completed | RolloutState::RolledBack => None,
         }
     }
 }
 
 impl Gateway {
-    /// Takes over an order to roll out a version; returns whether it is new here.
+    /// Puts an order into force; returns whether it is new here.
     pub fn take_order(&self, order: RolloutOrder, now: Instant) -> bool {
         let mut board = self.board.borrow_mut();
         let has_slack = self.was_up_at(order.started, board.store_time(now), now);
         board.rollouts.take_order(order, has_slack, fastrand::f64())
     }
 
-    /// Returns whether this process was up at a moment of the store's clock.
+    /// Returns whether this process was already running at time `at` of the store's clock, where
+    /// `time` is that clock's current time.
     pub(super) fn was_up_at(&self, at: StoreMillis, time: StoreMillis, now: Instant) -> bool {
         let up = now.saturating_duration_since(self.started).as_millis() as u64;
         up >= time.saturating_sub(at)
@@ -429,18 +438,18 @@
             Some((service, StatusRow { revision: row.revision, state, destination }))
         }
         Err(e) => {
-            log::error!("the state of a roll-out of {service} is unreadable: {e}");
+            log::error!("status row of the roll-out of service {service} cannot be decoded: {e}");
             None
         }
     }
 }
 
-fn kept_order(row: &StoreRow) -> Option<(ServiceName, KeptOrder)> {
+fn stored_start(row: &StoreRow) -> Option<(ServiceName, StoredStart)> {
     let service = rollout_service(&row.key)?.to_owned();
     match serde_json::from_slice(&row.value) {
-        Ok(kept) => Some((service, kept)),
+        Ok(start) => Some((service, start)),
         Err(e) => {
-            log::error!("what was kept of a roll-out of {service} is unreadable: {e}");
+            log::error!("stored start of the roll-out of service {service} cannot be decoded: {e}");
             None
         }
     }
--- a/src/gateway/decide/rollout/answers.rs
+++ b/src/gateway/decide/rollout/answers.rs
@@ -1,4 +1,4 @@
-//! Counts of what became of requests at each version of a service.
+//! Counts of the answers of each version of a service.
 
 use std::{
     collections::BTreeMap,
@@ -9,39 +9,39 @@
 
 use crate::prefix;
 
-/// Short name of a route.
+/// Hash that stands for the name of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RouteKey(u32);
 
 impl RouteKey {
-    /// Returns the short name of a route.
+    /// Returns the key of the route with this name.
     pub fn new(route: &str) -> Self {
         let hash = prefix::hash(route.as_bytes());
         Self((hash ^ (hash >> u32::BITS)) as u32)
     }
 }
 
-/// Which versions an upstream belongs to.
+/// Group of versions that an upstream belongs to during a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Side {
-    /// Those that had the traffic before.
+    /// The versions that had the traffic before.
     Earlier,
-    /// The one that is to get it.
+    /// The version that is to get the traffic.
     New,
 }
 
-/// How requests were answered.
+/// Requests by how they were answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerCount {
-    /// Requests that were answered, or failed.
+    /// Requests that were answered or failed.
     pub all: u32,
-    /// Those that failed, or took several times as long as they should.
+    /// Requests that failed or took several times the usual time.
     pub bad: u32,
 }
 
 impl AnswerCount {
-    /// Returns the larger of both counts of one process, which only rise.
-    pub fn newest(self, other: Self) -> Self {
+    /// Merges two counts of one process: the larger values win, as counts only rise.
+    pub fn max(self, other: Self) -> Self {
         Self { all: self.all.max(other.all), bad: self.bad.max(other.bad) }
     }
 }
@@ -68,44 +68,47 @@
     }
 }
 
-/// Answers of one kind in one part of a roll-out's time.
+/// Answers in one interval of a roll-out, on one route, by one group of versions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AnswerRow(
-    /// The part of the time.
+    /// Number of the interval, counted from 0.
     pub u8,
     /// The route.
     pub RouteKey,
-    /// The versions.
+    /// The group of versions.
     pub Side,
-    /// The count.
+    /// The counts.
     pub AnswerCount,
 );
 
-/// Answers by part of the time, route and versions.
+/// Counts of answers by interval, route and group of versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answers(BTreeMap<(u8, RouteKey, Side), AnswerCount>);
+pub struct AnswerCounts(BTreeMap<(u8, RouteKey, Side), AnswerCount>);
 
-impl Answers {
+impl AnswerCounts {
     /// Counts an answer.
-    pub fn note(&mut self, part: u8, route: RouteKey, side: Side, bad: bool) {
-        let count = self.0.entry((part, route, side)).or_default();
+    pub fn note(&mut self, interval: u8, route: RouteKey, side: Side, bad: bool) {
+        let count = self.0.entry((interval, route, side)).or_default();
         *count += AnswerCount { all: 1, bad: u32::from(bad) };
     }
 
-    /// Takes over newer counts of the same process, and adds to `sum` what is new in them.
+    /// Merges newer counts of the same process, and adds the increase to `sum`.
     pub fn merge(&mut self, rows: &[AnswerRow], sum: &mut Self) {
-        for AnswerRow(part, route, side, count) in rows {
-            let key = (*part, *route, *side);
+        for AnswerRow(interval, route, side, count) in rows {
+            let key = (*interval, *route, *side);
             let known = self.0.entry(key).or_default();
-            let newest = known.newest(*count);
+            let newest = known.max(*count);
             *sum.0.entry(key).or_default() += newest - *known;
             *known = newest;
         }
     }
 
-    /// Returns the counts, to be told to others.
+    /// Returns the counts as they are sent to other processes.
     pub fn rows(&self) -> Vec<AnswerRow> {
-        self.0.iter().map(|((part, route, side), n)| AnswerRow(*part, *route, *side, *n)).collect()
+        self.0
+            .iter()
+            .map(|((interval, route, side), count)| AnswerRow(*interval, *route, *side, *count))
+            .collect()
     }
 
     /// Returns the routes that have answers.
@@ -116,12 +119,12 @@
         routes.into_iter()
     }
 
-    /// Returns the answers of a route since the beginning of `part`.
-    pub fn since(&self, part: u8, route: RouteKey, side: Side) -> AnswerCount {
-        let of = |((p, r, s), _): &(&(u8, RouteKey, Side), &AnswerCount)| {
-            *p >= part && *r == route && *s == side
+    /// Returns the answers on a route from the interval `first` on.
+    pub fn since(&self, first: u8, route: RouteKey, side: Side) -> AnswerCount {
+        let is_counted = |((interval, r, s), _): &(&(u8, RouteKey, Side), &AnswerCount)| {
+            *interval >= first && *r == route && *s == side
         };
-        let rows = self.0.iter().filter(of);
+        let rows = self.0.iter().filter(is_counted);
         rows.fold(AnswerCount::default(), |sum, (_, count)| sum + *count)
     }
 }
--- a/src/gateway/decide/rollout/evidence.rs
+++ b/src/gateway/decide/rollout/evidence.rs
@@ -1,41 +1,43 @@
-//! Whether a new version does as well as those before it, as far as its answers tell.
+//! Whether a new version does as well as the earlier ones, judged by its answers.
 //!
-//! A sequential probability ratio test for each route: it may be looked at after each
-//! answer. What the earlier versions do on the same route is the measure, so a burst or a
-//! failing store, which strikes both, condemns none. Looked at from the beginning of each
-//! part of the roll-out's time on, it also finds a version that turns bad after it did well.
+//! A sequential probability ratio test for each route, which may be evaluated after each answer.
+//! The new version is compared with the earlier versions on the same route, so that a burst of load
+//! or a failing store, which affects both, does not count against it. The test is also evaluated
+//! from the start of each interval of the roll-out on, to detect a version that turns bad after it
+//! did well.
 
 use std::{collections::BTreeSet, fmt};
 
-use super::answers::{AnswerCount, Answers, RouteKey, Side};
+use super::answers::{AnswerCount, AnswerCounts, RouteKey, Side};
 
-/// Parts of a roll-out's time from whose beginnings answers are looked at.
-pub const PARTS: u8 = 8;
-/// Share of the good answers that a bad version spoils at least, to be found.
-const SPOILT: f64 = 0.2;
-/// Bad answers that any version is taken to give, as a share.
-const LEAST_BAD: f64 = 0.01;
-/// Most that the earlier versions' own bad answers count, as a share.
-const MOST_BAD: f64 = 0.6;
-/// Answers for which what the earlier versions did at other times counts: a few answers say
-/// little.
-const DRAWN_BY: f64 = 30.0;
-/// Logarithm of the odds at which a version counts as bad: long ones, as all gateways look, each
-/// at part of the answers, and any one of them ends the roll-out.
-const CONDEMNED: f64 = 12.0;
-/// Logarithm of the odds at which a route counts as good.
-const TRUSTED: f64 = -4.6;
-/// The same where no time is left.
-const HALF_TRUSTED: f64 = -1.0;
+/// Intervals that a roll-out's duration is divided into.
+pub const INTERVALS: u8 = 8;
+/// Smallest share of the good answers that a version has to turn into bad ones for the test to find
+/// it bad.
+const MIN_SPOILT_SHARE: f64 = 0.2;
+/// Lower limit of the share of bad answers that is assumed of the earlier versions.
+const MIN_EARLIER_BAD_SHARE: f64 = 0.01;
+/// Upper limit of the share of bad answers that is assumed of the earlier versions.
+const MAX_EARLIER_BAD_SHARE: f64 = 0.6;
+/// Number of answers that the earlier versions' share at other times weighs as much as, when the
+/// share in one interval is estimated: few answers say little.
+const PRIOR_ANSWERS: f64 = 30.0;
+/// Log-likelihood ratio from which a version counts as bad. It is high because every gateway
+/// evaluates the test, each on part of the answers, and any one of them ends the roll-out.
+const BAD_THRESHOLD: f64 = 12.0;
+/// Log-likelihood ratio up to which a route counts as good.
+const GOOD_THRESHOLD: f64 = -4.6;
+/// The same once time is short.
+const GOOD_THRESHOLD_SHORT_TIME: f64 = -1.0;
 
-/// What keeps a new version from all traffic.
+/// What keeps all traffic from moving to a new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Doubt {
-    /// It is bad on a route.
+    /// The version is bad on this route.
     Bad(RouteKey),
-    /// Some routes have too few answers yet, with this share of all requests.
-    TooFew(f64),
-    /// None.
+    /// Routes with this share of all requests have too few answers yet.
+    TooFewAnswers(f64),
+    /// Nothing.
     None,
 }
 
@@ -43,7 +45,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Bad(_) => write!(f, "bad on a route"),
-            Self::TooFew(share) => {
+            Self::TooFewAnswers(share) => {
                 write!(f, "too few answers on routes with {:.0} in 100 requests", share * 100.0)
             }
             Self::None => write!(f, "none"),
@@ -51,104 +53,114 @@
     }
 }
 
-/// What answers tell of a new version.
+/// What the answers say about a new version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Findings {
-    /// A route on which it is bad.
-    pub bad: Option<RouteKey>,
-    /// Routes on which it is known to be good.
-    pub good: BTreeSet<RouteKey>,
-    /// Share of the requests on routes on which it is not known to be good.
-    pub open: f64,
-    /// The same if less evidence has to do.
-    pub half_open: f64,
+    /// A route on which the version is bad.
+    pub bad_route: Option<RouteKey>,
+    /// Routes on which the version is known to be good.
+    pub good_routes: BTreeSet<RouteKey>,
+    /// Share of the requests on routes on which the version is not known to be good.
+    pub unproved_share: f64,
+    /// The same, with the evidence that is enough once time is short.
+    pub unproved_share_short_time: f64,
 }
 
 impl Findings {
-    /// Looks at all answers, and at what share of the requests each route has.
-    pub fn new(answers: &Answers, weight: impl Fn(RouteKey) -> f64) -> Self {
+    /// Evaluates all answers; `weight` returns a route's share of the requests.
+    pub fn new(answers: &AnswerCounts, weight: impl Fn(RouteKey) -> f64) -> Self {
         let mut findings = Self::default();
         for route in answers.routes() {
-            let parts = Parts::new(answers, route);
-            let worst = (0..PARTS).map(|from| parts.odds_of_bad(from, parts.at_worst));
-            let worst = worst.fold(f64::NEG_INFINITY, f64::max);
-            if worst >= CONDEMNED {
-                findings.bad = findings.bad.or(Some(route));
+            let intervals = RouteIntervals::new(answers, route);
+            let ratios = (0..INTERVALS).map(|first| {
+                intervals.log_likelihood_ratio_since(first, intervals.worst_bad_share)
+            });
+            let largest = ratios.fold(f64::NEG_INFINITY, f64::max);
+            if largest >= BAD_THRESHOLD {
+                findings.bad_route = findings.bad_route.or(Some(route));
             }
-            let all = parts.odds_of_bad(0, parts.at_mean);
-            match all > TRUSTED {
-                true => findings.open += weight(route),
-                false => drop(findings.good.insert(route)),
+            let overall = intervals.log_likelihood_ratio_since(0, intervals.mean_bad_share);
+            match overall > GOOD_THRESHOLD {
+                true => findings.unproved_share += weight(route),
+                false => drop(findings.good_routes.insert(route)),
             }
-            findings.half_open += if all > HALF_TRUSTED { weight(route) } else { 0.0 };
+            findings.unproved_share_short_time +=
+                if overall > GOOD_THRESHOLD_SHORT_TIME { weight(route) } else { 0.0 };
         }
         findings
     }
 
-    /// Returns what keeps the version from all traffic; `hurry` says that no time is left.
-    pub fn doubt(&self, hurry: bool) -> Doubt {
-        let open = if hurry { self.half_open } else { self.open };
-        match self.bad {
+    /// Returns what keeps all traffic from moving; `time_is_short` says whether less evidence is
+    /// enough.
+    pub fn blocker(&self, time_is_short: bool) -> Doubt {
+        let unproved =
+            if time_is_short { self.unproved_share_short_time } else { self.unproved_share };
+        match self.bad_route {
             Some(route) => Doubt::Bad(route),
-            None if open > UNPROVED => Doubt::TooFew(open),
+            None if unproved > MAX_UNPROVED_SHARE => Doubt::TooFewAnswers(unproved),
             None => Doubt::None,
         }
     }
 }
 
-/// Share of the requests on routes that are so rare that they are not waited for.
-const UNPROVED: f64 = 0.05;
+/// Largest share of the requests on routes so rare that traffic moves without waiting for them.
+const MAX_UNPROVED_SHARE: f64 = 0.05;
 
-/// Answers on one route, part by part of the roll-out's time.
-struct Parts {
+/// Answers on one route, by interval.
+struct RouteIntervals {
     new: Vec<AnswerCount>,
     earlier: Vec<AnswerCount>,
     /// Share of bad answers of the earlier versions.
-    at_mean: f64,
-    /// The same in the part where it was largest: a burst that strikes when most traffic has
-    /// moved would otherwise count against the new version.
-    at_worst: f64,
+    mean_bad_share: f64,
+    /// The same in the interval where it was largest: a burst of load after most traffic has moved
+    /// would otherwise count against the new version.
+    worst_bad_share: f64,
 }
 
-impl Parts {
-    fn new(answers: &Answers, route: RouteKey) -> Self {
-        let since = |part, side| answers.since(part, route, side);
-        let of_part = |part, side| since(part, side) - since(part + 1, side);
-        let of_side = |side| (0..PARTS).map(|part| of_part(part, side)).collect();
+impl RouteIntervals {
+    fn new(answers: &AnswerCounts, route: RouteKey) -> Self {
+        let since = |first, side| answers.since(first, route, side);
+        let in_interval = |interval, side| since(interval, side) - since(interval + 1, side);
+        let of_group = |side| (0..INTERVALS).map(|interval| in_interval(interval, side)).collect();
         let (new, earlier): (Vec<AnswerCount>, Vec<AnswerCount>) =
-            (of_side(Side::New), of_side(Side::Earlier));
-        let at_mean = share_bad(since(0, Side::Earlier));
-        let parts = earlier.iter().map(|count| share_bad_beside(*count, at_mean));
-        let at_worst = parts.fold(at_mean, f64::max);
-        Self { new, earlier, at_mean, at_worst }
+            (of_group(Side::New), of_group(Side::Earlier));
+        let mean_bad_share = bad_share(since(0, Side::Earlier));
+        let intervals = earlier.iter().map(|count| bad_share_drawn_towards(*count, mean_bad_share));
+        let worst_bad_share = intervals.fold(mean_bad_share, f64::max);
+        Self { new, earlier, mean_bad_share, worst_bad_share }
     }
 
-    /// Returns the logarithm of the odds that the new version is bad, rather than as good as
-    /// the earlier ones in the same time, from the answers since the beginning of a part.
-    /// Where these gave few, they are taken to do as they did `elsewhere`.
-    fn odds_of_bad(&self, from: u8, elsewhere: f64) -> f64 {
-        let parts = self.new.iter().zip(&self.earlier).skip(usize::from(from));
-        let odds = |(new, earlier): (&AnswerCount, &AnswerCount)| {
-            odds(*new, share_bad_beside(*earlier, elsewhere).clamp(LEAST_BAD, MOST_BAD))
+    /// Returns the logarithm of the likelihood ratio of a bad new version to one as good as the
+    /// earlier ones at the same time, from the answers since the start of interval `first`. Where
+    /// the earlier versions gave few answers, their share of bad ones is drawn towards `elsewhere`.
+    fn log_likelihood_ratio_since(&self, first: u8, elsewhere: f64) -> f64 {
+        let intervals = self.new.iter().zip(&self.earlier).skip(usize::from(first));
+        let ratio = |(new, earlier): (&AnswerCount, &AnswerCount)| {
+            log_likelihood_ratio(
+                *new,
+                bad_share_drawn_towards(*earlier, elsewhere)
+                    .clamp(MIN_EARLIER_BAD_SHARE, MAX_EARLIER_BAD_SHARE),
+            )
         };
-        parts.map(odds).sum()
+        intervals.map(ratio).sum()
     }
 }
 
-/// Returns the logarithm of the odds that a version is bad, rather than one that gives this
-/// share of bad answers.
-fn odds(new: AnswerCount, usual: f64) -> f64 {
-    let spoilt = usual + (1.0 - usual) * SPOILT;
-    let good = f64::from(new.all - new.bad.min(new.all));
-    let bad = f64::from(new.bad);
-    bad * (spoilt / usual).ln() + good * ((1.0 - spoilt) / (1.0 - usual)).ln()
+/// Returns the logarithm of the likelihood ratio of a bad version to one with the share `usual` of
+/// bad answers.
+fn log_likelihood_ratio(new: AnswerCount, usual: f64) -> f64 {
+    let bad_version = usual + (1.0 - usual) * MIN_SPOILT_SHARE;
+    let good_answers = f64::from(new.all - new.bad.min(new.all));
+    let bad_answers = f64::from(new.bad);
+    bad_answers * (bad_version / usual).ln()
+        + good_answers * ((1.0 - bad_version) / (1.0 - usual)).ln()
 }
 
-fn share_bad(count: AnswerCount) -> f64 {
+fn bad_share(count: AnswerCount) -> f64 {
     (f64::from(count.bad) + 0.5) / (f64::from(count.all) + 1.0)
 }
 
-/// Returns the share of bad answers in one part of the time, drawn towards that of others.
-fn share_bad_beside(count: AnswerCount, others: f64) -> f64 {
-    (f64::from(count.bad) + DRAWN_BY * others) / (f64::from(count.all) + DRAWN_BY)
+/// Returns the estimated share of bad answers in one interval, drawn towards the share `elsewhere`.
+fn bad_share_drawn_towards(count: AnswerCount, elsewhere: f64) -> f64 {
+    (f64::from(count.bad) + PRIOR_ANSWERS * elsewhere) / (f64::from(count.all) + PRIOR_ANSWERS)
 }
--- a/src/gateway/decide/rollout/mod.rs
+++ b/src/gateway/decide/rollout/mod.rs
@@ -1,23 +1,23 @@
-//! Roll-outs: the traffic of a service moves to another version of its upstreams, or back.
+//! Roll-outs: moving the traffic of a service to another version of its upstreams, or back.
 //!
-//! All gateways hold the same facts, which merge in any order: the order, what became of
-//! requests at each version, when all traffic began to move, how it ended. Any gateway
-//! takes a bad version back by itself; only the holder of the lease lets all traffic move.
-//! Until then each gateway lets a bounded part of its own requests through, so that the sum
-//! keeps the operator's bound whatever it hears of the others.
+//! All gateways hold the same facts, which can be merged in any order: the order, the counts of
+//! answers by version, when all traffic began to move, and how the roll-out ended. Any gateway
+//! rolls a bad version back by itself; only the holder of the lease lets all traffic move. Until
+//! then the new version is a canary: each gateway sends it a bounded part of its own requests, so
+//! that the sum keeps the operator's bound even if gateways do not hear each other.
 
 mod answers;
-mod book;
 mod evidence;
 mod exposure;
 mod order;
 mod report;
-mod slowness;
+mod tracker;
+mod typical_times;
 
 pub use answers::{AnswerCount, AnswerRow, RouteKey, Side};
-pub use book::{Exposing, Member, RolloutBook, RolloutChange, RolloutView};
 pub use evidence::{Doubt, Findings};
 pub use exposure::ExposureTerms;
 pub use order::{RolloutEnd, RolloutOrder, RolloutStage};
 pub use report::{RolloutReport, SentRow};
-pub use slowness::TypicalTimes;
+pub use tracker::{Exposing, Member, RolloutBook, RolloutChange, RolloutView};
+pub use typical_times::TypicalTimes;
--- a/src/gateway/decide/rollout/order.rs
+++ b/src/gateway/decide/rollout/order.rs
@@ -1,4 +1,4 @@
-//! An order to move the traffic of a service, and how far it has got.
+//! Order to move the traffic of a service, and the stages of its roll-out.
 
 use std::time::Duration;
 
@@ -12,53 +12,55 @@
 /// An operator's order to move the traffic of a service to another version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
-    /// The service.
+    /// Service whose traffic moves.
     pub service: ServiceName,
-    /// The version that is to get the traffic.
+    /// Version that is to get the traffic.
     pub destination: UpstreamVersion,
-    /// Time until it must have ended.
+    /// Time within which the roll-out must have ended.
     pub duration: Duration,
-    /// Revision of the store at which it was written. A later order replaces it.
+    /// Revision of the store at which the order was written. An order with a higher one replaces
+    /// it.
     pub revision: Revision,
-    /// When it was first seen, by the store's clock.
+    /// When a gateway first saw the order, by the store's clock.
     pub started: StoreMillis,
 }
 
 /// How a roll-out ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RolloutEnd {
-    /// All traffic stays with the earlier versions, or is back there.
+    /// All traffic stays with the earlier versions, or has returned to them.
     RolledBack,
-    /// The earlier versions stop: this was confirmed by the store, and is for good.
+    /// The earlier versions may stop. The store has confirmed this, and it is final.
     Completed,
 }
 
-/// Share of the time that an order gives after which traffic begins to move at the latest:
-/// what runs at the earlier versions has to end within the rest.
-const LATEST_STEP: f64 = 0.5;
-/// The same at the earliest: versions turn bad late, too.
-const EARLIEST_STEP: f64 = 0.35;
-/// Share of the time that it takes from the first step until all traffic has moved.
-const STEPPING: f64 = 0.2;
-/// Share of the time after which a roll-out that has not begun to move is given up.
-const GIVEN_UP_AT: f64 = 0.9;
-/// Shares of the traffic that go to the new version in turn once it moves. A version that
-/// is bad under load shows it at one of them.
-const STEPS: [f64; 4] = [0.2, 0.4, 0.7, 1.0];
+/// Share of the order's duration after which less evidence is enough for traffic to start to move:
+/// requests that run at the earlier versions have to end within the rest.
+const TIME_SHORT_AFTER: f64 = 0.5;
+/// Share of the duration before which traffic does not start to move, because versions may turn bad
+/// late.
+const EARLIEST_MOVE: f64 = 0.35;
+/// Share of the duration from the first step until all traffic has moved.
+const MOVE_DURATION: f64 = 0.2;
+/// Share of the duration after which a roll-out that has not started to move is rolled back.
+const TOO_LATE_AFTER: f64 = 0.9;
+/// Shares of the traffic that go to the new version, one after the other, once traffic moves. A
+/// version that is bad only under load shows it at one of them.
+const MOVE_STEPS: [f64; 4] = [0.2, 0.4, 0.7, 1.0];
 
-/// How far a roll-out has got.
+/// Stage of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RolloutStage {
-    /// A bounded part of the requests shows how the new version does.
+    /// The new version gets a bounded part of the requests, to show whether it is good.
     Trying,
     /// This share of the traffic goes to the new version.
     Moving(f64),
-    /// It has ended.
+    /// The roll-out has ended.
     Ended(RolloutEnd),
 }
 
 impl RolloutStage {
-    /// Returns a word for logs and operators.
+    /// Returns the name used in logs and in the status for operators.
     pub fn name(self) -> &'static str {
         match self {
             Self::Trying => "trying",
@@ -70,42 +72,42 @@
 }
 
 impl RolloutOrder {
-    /// Returns the stage at `now`, where traffic began to move at `step`.
-    pub fn stage(&self, step: Option<StoreMillis>, now: StoreMillis) -> RolloutStage {
-        let Some(step) = step else {
+    /// Returns the stage at `now`, where `moving_since` says when traffic started to move.
+    pub fn stage(&self, moving_since: Option<StoreMillis>, now: StoreMillis) -> RolloutStage {
+        let Some(moving_since) = moving_since else {
             return RolloutStage::Trying;
         };
-        let each = self.after(STEPPING).max(1) / (STEPS.len() as u64 - 1);
-        let passed = now.saturating_sub(step) / each.max(1);
-        RolloutStage::Moving(STEPS[(passed as usize).min(STEPS.len() - 1)])
+        let step = self.share_ms(MOVE_DURATION).max(1) / (MOVE_STEPS.len() as u64 - 1);
+        let passed = now.saturating_sub(moving_since) / step.max(1);
+        RolloutStage::Moving(MOVE_STEPS[(passed as usize).min(MOVE_STEPS.len() - 1)])
     }
 
-    /// Returns whether traffic may begin to move, if the new version does well.
-    pub fn may_step(&self, now: StoreMillis) -> bool {
-        self.age(now) >= self.after(EARLIEST_STEP)
+    /// Returns whether traffic may start to move, provided that the new version does well.
+    pub fn may_start_moving(&self, now: StoreMillis) -> bool {
+        self.elapsed_ms(now) >= self.share_ms(EARLIEST_MOVE)
     }
 
-    /// Returns whether traffic has to begin to move now, or not at all.
-    pub fn must_step(&self, now: StoreMillis) -> bool {
-        self.age(now) >= self.after(LATEST_STEP)
+    /// Returns whether time is short, so that less evidence has to do for traffic to start to move.
+    pub fn is_time_short(&self, now: StoreMillis) -> bool {
+        self.elapsed_ms(now) >= self.share_ms(TIME_SHORT_AFTER)
     }
 
-    /// Returns whether there is no time left for traffic to move.
+    /// Returns whether no time is left for traffic to move.
     pub fn is_too_late(&self, now: StoreMillis) -> bool {
-        self.age(now) >= self.after(GIVEN_UP_AT)
+        self.elapsed_ms(now) >= self.share_ms(TOO_LATE_AFTER)
     }
 
-    /// Returns the part of its time in which `now` lies, of `parts`.
-    pub fn part(&self, parts: u8, now: StoreMillis) -> u8 {
-        let each = (self.duration.as_millis() as u64 / u64::from(parts)).max(1);
-        (self.age(now) / each).min(u64::from(parts) - 1) as u8
+    /// Returns the interval in which `now` lies, if the duration is divided into `count` intervals.
+    pub fn interval(&self, count: u8, now: StoreMillis) -> u8 {
+        let length = (self.duration.as_millis() as u64 / u64::from(count)).max(1);
+        (self.elapsed_ms(now) / length).min(u64::from(count) - 1) as u8
     }
 
-    fn age(&self, now: StoreMillis) -> u64 {
+    fn elapsed_ms(&self, now: StoreMillis) -> u64 {
         now.saturating_sub(self.started)
     }
 
-    fn after(&self, share: f64) -> u64 {
+    fn share_ms(&self, share: f64) -> u64 {
         self.duration.mul_f64(share).as_millis() as u64
     }
 }
--- a/src/gateway/decide/rollout/report.rs
+++ b/src/gateway/decide/rollout/report.rs
@@ -1,4 +1,4 @@
-//! What processes tell each other of a roll-out.
+//! What processes tell each other about a roll-out.
 
 use serde::{Deserialize, Serialize};
 
@@ -12,21 +12,21 @@
     pub RouteKey,
     /// All requests.
     pub u32,
-    /// Those that went to the new version.
+    /// Requests that went to the new version.
     pub u32,
 );
 
-/// What one process knows of a roll-out, and has seen itself.
+/// What one process knows of a roll-out, with its own counts.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutReport {
-    /// The order.
+    /// The order that started the roll-out.
     pub order: RolloutOrder,
-    /// When traffic began to move, if it has.
-    pub step: Option<StoreMillis>,
-    /// How it ended, if it has.
+    /// When traffic started to move; `None` if it has not.
+    pub moving_since: Option<StoreMillis>,
+    /// How the roll-out ended; `None` if it has not.
     pub end: Option<RolloutEnd>,
-    /// Requests that the process sent.
+    /// Requests that the process sent; empty once the roll-out has ended.
     pub sent: Vec<SentRow>,
-    /// Answers that it saw.
+    /// Answers that the process saw; empty once the roll-out has ended.
     pub answers: Vec<AnswerRow>,
 }
--- a/src/gateway/decide/rollout/book.rs
+++ b/src/gateway/decide/rollout/tracker.rs
@@ -1,13 +1,13 @@
-//! All roll-outs that a process knows of.
+//! State of all roll-outs that a process knows of.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use super::{
     AnswerRow, Doubt, ExposureTerms, Findings, RolloutEnd, RolloutOrder, RolloutReport,
     RolloutStage, RouteKey, SentRow, Side, TypicalTimes,
-    answers::Answers,
-    evidence::PARTS,
-    exposure::{Exposure, RouteWeights, offered},
+    answers::AnswerCounts,
+    evidence::INTERVALS,
+    exposure::{Exposure, RouteWeights, trial_share},
 };
 use crate::gateway::{
     decide::StoreMillis,
@@ -15,31 +15,32 @@
     peering::ProcessId,
 };
 
-/// What a process knows of the others, as far as it bounds what it may send.
+/// How many gateways there are and are heard. It limits what this one may send to a new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Member {
     /// Processes that are heard, this one included.
     pub heard: usize,
-    /// Processes that may be serving.
+    /// Processes that may be serving requests.
     pub members: usize,
 }
 
 impl Member {
-    /// Returns whether it hears of the others whether a version is bad.
-    fn is_in_touch(self) -> bool {
+    /// Returns whether this process hears more than half of all processes, itself included, and so
+    /// learns from them that a version is bad.
+    fn hears_majority(self) -> bool {
         self.heard * 2 > self.members
     }
 }
 
-/// What one process has sent and seen since an order.
+/// Requests sent and answers seen since an order, by one process or summed over all.
 #[derive(Clone, Debug, Default)]
-struct Account {
+struct ProcessCounts {
     sent: BTreeMap<RouteKey, Exposure>,
-    answers: Answers,
+    answers: AnswerCounts,
 }
 
-impl Account {
-    /// Takes over newer counts of the same process, and adds to `sum` what is new in them.
+impl ProcessCounts {
+    /// Merges newer counts of the same process, and adds the increase to `sum`.
     fn merge(&mut self, sent: &[SentRow], answers: &[AnswerRow], sum: &mut Self) {
         for SentRow(route, arrived, exposed) in sent {
             let known = self.sent.entry(*route).or_default();
@@ -77,31 +78,31 @@
 #[derive(Clone, Debug)]
 struct Rollout {
     order: RolloutOrder,
-    step: Option<StoreMillis>,
+    moving_since: Option<StoreMillis>,
     end: Option<RolloutEnd>,
-    own: Account,
-    others: BTreeMap<ProcessId, Account>,
-    /// Sum over all processes, which follows each report.
-    sum: Account,
-    /// Routes on which the version is known to be good.
+    own: ProcessCounts,
+    others: BTreeMap<ProcessId, ProcessCounts>,
+    /// Sum over all processes, updated with each report.
+    sum: ProcessCounts,
+    /// Routes on which the new version is known to be good.
     proved: BTreeSet<RouteKey>,
-    /// Whether this process has its part of the slack: one that started later may have used
-    /// it before.
+    /// Whether this process may use its part of the slack. A process that started after the order
+    /// may not: it may have used it before it restarted.
     has_slack: bool,
-    /// From 0 to 1, drawn once.
-    chance: f64,
+    /// Drawn once between 0 and 1; see `Exposure::may_grow`.
+    rounding: f64,
 }
 
 impl Rollout {
     fn findings(&self) -> Findings {
         let weights = self.sum.weights();
-        Findings::new(&self.sum.answers, |route| weights.of(route))
+        Findings::new(&self.sum.answers, |route| weights.share_of(route))
     }
 
     fn stage(&self, now: StoreMillis) -> RolloutStage {
         match self.end {
             Some(end) => RolloutStage::Ended(end),
-            None => self.order.stage(self.step, now),
+            None => self.order.stage(self.moving_since, now),
         }
     }
 
@@ -110,17 +111,18 @@
     }
 
     /// Returns whether a request goes to the new version.
-    fn exposes(&self, route: RouteKey, cx: &Exposing) -> bool {
-        if !cx.member.is_in_touch() {
+    fn is_exposed(&self, route: RouteKey, cx: &Exposing) -> bool {
+        if !cx.member.hears_majority() {
             return false;
         }
         match self.stage(cx.now) {
             RolloutStage::Trying => {
                 let (weights, proved) = (self.sum.weights(), self.proved.contains(&route));
-                let share = offered(weights.of(route), weights.routes(), proved);
+                let share = trial_share(weights.share_of(route), weights.routes(), proved);
                 let slack = if self.has_slack { cx.terms.slack } else { 0.0 };
                 let terms = ExposureTerms { slack, ..cx.terms };
-                cx.draw < share && self.own.total().may_grow(terms, cx.member.members, self.chance)
+                cx.draw < share
+                    && self.own.total().may_grow(terms, cx.member.members, self.rounding)
             }
             RolloutStage::Moving(share) => cx.draw < share,
             RolloutStage::Ended(end) => end == RolloutEnd::Completed,
@@ -128,56 +130,56 @@
     }
 }
 
-/// On what it rests whether a request goes to a new version.
+/// What decides whether a request goes to a new version.
 #[derive(Clone, Copy, Debug)]
 pub struct Exposing {
-    /// Bound of what a bad version may get.
+    /// Bound on the requests that a bad version may get.
     pub terms: ExposureTerms,
-    /// What is known of the other processes.
+    /// How many gateways there are and are heard.
     pub member: Member,
     /// Time by the store's clock.
     pub now: StoreMillis,
-    /// From 0 to 1, drawn for this request.
+    /// Drawn between 0 and 1 for this request.
     pub draw: f64,
 }
 
-/// A roll-out as others see it.
+/// State of a roll-out for logs and operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutView {
-    /// The order.
+    /// The order that started the roll-out.
     pub order: RolloutOrder,
-    /// How far it has got.
+    /// Stage that it has reached.
     pub stage: RolloutStage,
-    /// Requests to the service since the order, as far as they are known.
+    /// Requests to the service since the order, over all processes, as far as is known.
     pub arrived: u32,
-    /// Those among them that went to the new version.
+    /// Requests among them that went to the new version.
     pub exposed: u32,
-    /// What keeps the version from all traffic.
+    /// What keeps all traffic from moving to the new version.
     pub doubt: Doubt,
 }
 
-/// A change of a roll-out's state, with what it rests on.
+/// A change of a roll-out's stage.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutChange {
-    /// The roll-out as it is now.
+    /// The roll-out after the change.
     pub view: RolloutView,
-    /// Why it changed.
+    /// Reason of the change, as written to the log and the metrics.
     pub cause: &'static str,
 }
 
-/// All roll-outs that a process knows of, the newest of each service.
+/// The newest roll-out of each service that this process knows of.
 #[derive(Clone, Debug, Default)]
 pub struct RolloutBook {
     rollouts: BTreeMap<ServiceName, Rollout>,
-    /// Versions that were taken back, by service.
+    /// Versions that were rolled back, by service.
     rejected: BTreeMap<ServiceName, BTreeSet<UpstreamVersion>>,
     typical: HashMap<ServiceName, TypicalTimes>,
 }
 
 impl RolloutBook {
-    /// Takes over an order; returns whether it is new here. `has_slack` says that this
-    /// process was up when it was given, and `chance` is drawn for it.
-    pub fn take_order(&mut self, order: RolloutOrder, has_slack: bool, chance: f64) -> bool {
+    /// Adds an order; returns whether it is new here. `has_slack` says whether this process was
+    /// running when the order was given, and `rounding` is drawn between 0 and 1.
+    pub fn take_order(&mut self, order: RolloutOrder, has_slack: bool, rounding: f64) -> bool {
         if let Some(known) = self.rollouts.get_mut(&order.service) {
             if known.order.revision == order.revision {
                 known.order.started = known.order.started.min(order.started);
@@ -187,53 +189,53 @@
             }
         }
         let rejected = self.rejected.entry(order.service.clone()).or_default();
-        let before = self.rollouts.remove(&order.service);
-        if let Some(before) = before.filter(|r| r.end != Some(RolloutEnd::Completed)) {
-            rejected.insert(before.order.destination);
+        let replaced = self.rollouts.remove(&order.service);
+        if let Some(replaced) = replaced.filter(|r| r.end != Some(RolloutEnd::Completed)) {
+            rejected.insert(replaced.order.destination);
         }
         rejected.remove(&order.destination);
         let rollout = Rollout {
-            step: None,
+            moving_since: None,
             end: None,
-            own: Account::default(),
+            own: ProcessCounts::default(),
             others: BTreeMap::new(),
-            sum: Account::default(),
+            sum: ProcessCounts::default(),
             proved: BTreeSet::new(),
             has_slack,
-            chance,
+            rounding,
             order: order.clone(),
         };
         self.rollouts.insert(order.service, rollout);
         true
     }
 
-    /// Takes over what another process tells of a roll-out.
+    /// Merges what another process reports of a roll-out.
     pub fn hear(
         &mut self,
         process: &ProcessId,
         report: &RolloutReport,
         has_slack: bool,
-        chance: f64,
+        rounding: f64,
     ) {
-        self.take_order(report.order.clone(), has_slack, chance);
+        self.take_order(report.order.clone(), has_slack, rounding);
         let Some(known) = self.rollouts.get_mut(&report.order.service) else {
             return;
         };
         if known.order.revision != report.order.revision {
             return;
         }
-        known.step = match (known.step, report.step) {
+        known.moving_since = match (known.moving_since, report.moving_since) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         };
         if let Some(end) = report.end {
             known.end(end);
         }
-        let account = known.others.entry(process.clone()).or_default();
-        account.merge(&report.sent, &report.answers, &mut known.sum);
+        let counts = known.others.entry(process.clone()).or_default();
+        counts.merge(&report.sent, &report.answers, &mut known.sum);
     }
 
-    /// Notes how the store says that a roll-out ended, or that its order was withdrawn.
+    /// Records how a roll-out ended, as the store says, or that its order was withdrawn.
     pub fn end(&mut self, service: &str, revision: Revision, end: RolloutEnd) {
         let rollout = self.rollouts.get_mut(service).filter(|r| r.order.revision == revision);
         if let Some(rollout) = rollout {
@@ -241,21 +243,21 @@
         }
     }
 
-    /// Returns the services of which a roll-out is known.
+    /// Returns the services with a roll-out, whether running or ended.
     pub fn services(&self) -> impl Iterator<Item = &ServiceName> {
         self.rollouts.keys()
     }
 
-    /// Returns the order of a service.
+    /// Returns the newest order for a service.
     pub fn order(&self, service: &str) -> Option<&RolloutOrder> {
         self.rollouts.get(service).map(|r| &r.order)
     }
 
-    /// Returns which versions get a request to a service, and counts it; `None` without a
+    /// Chooses the versions for a request to a service and counts it; returns `None` if there is no
     /// roll-out.
     pub fn choose_side(&mut self, service: &str, route: RouteKey, cx: &Exposing) -> Option<Side> {
         let rollout = self.rollouts.get_mut(service)?;
-        let exposed = rollout.exposes(route, cx);
+        let exposed = rollout.is_exposed(route, cx);
         if rollout.end.is_none() {
             rollout.own.note_sent(route, exposed);
             rollout.sum.note_sent(route, exposed);
@@ -263,8 +265,8 @@
         Some(if exposed { Side::New } else { Side::Earlier })
     }
 
-    /// Returns the side of a version; `None` if it gets nothing any more, or if there is no
-    /// roll-out of its service.
+    /// Returns the group of a version; `None` if it gets no requests any more, or if its service
+    /// has no roll-out.
     pub fn side_of(&self, service: &str, version: &str) -> Option<Side> {
         let rollout = self.rollouts.get(service)?;
         match version == rollout.order.destination {
@@ -274,7 +276,7 @@
         }
     }
 
-    /// Returns whether a version was taken back and gets no requests.
+    /// Returns whether a version was rolled back and gets no requests.
     pub fn is_rejected(&self, service: &str, version: &str) -> bool {
         let rejected = self.rejected.get(service).is_some_and(|r| r.contains(version));
         let rollout = self.rollouts.get(service);
@@ -294,8 +296,8 @@
         }
     }
 
-    /// Notes how a request was answered. `took` is its time in units of what was expected;
-    /// `None` if it failed.
+    /// Records an answer. `took` is its time as a multiple of the expected time, or `None` if the
+    /// request failed.
     pub fn note_answer(
         &mut self,
         service: &ServiceName,
@@ -307,19 +309,19 @@
         let typical = self.typical.entry(service.clone()).or_default();
         let bad = took.is_none_or(|took| typical.is_slow(route, took));
         if let Some(took) = took.filter(|_| side != Some(Side::New)) {
-            typical.learn(route, took);
+            typical.add(route, took);
         }
         let rollout = self.rollouts.get_mut(service).filter(|r| r.end.is_none());
         if let Some((rollout, side)) = rollout.zip(side) {
-            let part = rollout.order.part(PARTS, now);
-            rollout.own.answers.note(part, route, side, bad);
-            rollout.sum.answers.note(part, route, side, bad);
+            let interval = rollout.order.interval(INTERVALS, now);
+            rollout.own.answers.note(interval, route, side, bad);
+            rollout.sum.answers.note(interval, route, side, bad);
         }
     }
 
-    /// Ends roll-outs of versions that are bad, and those that have no time left to begin,
-    /// where there is an earlier version to go back to.
-    pub fn take_back(
+    /// Rolls back versions that are bad, and those that did not prove good in time, where there is
+    /// an earlier version to return to.
+    pub fn roll_back(
         &mut self,
         now: StoreMillis,
         has_earlier: impl Fn(&str) -> bool,
@@ -328,10 +330,10 @@
         let running = |r: &&mut Rollout| r.end.is_none() && has_earlier(&r.order.service);
         for rollout in self.rollouts.values_mut().filter(running) {
             let findings = rollout.findings();
-            let bad = findings.bad.is_some();
-            rollout.proved = findings.good;
-            let late = rollout.step.is_none() && rollout.order.is_too_late(now);
-            if bad || late {
+            let bad = findings.bad_route.is_some();
+            rollout.proved = findings.good_routes;
+            let too_late = rollout.moving_since.is_none() && rollout.order.is_too_late(now);
+            if bad || too_late {
                 rollout.end(RolloutEnd::RolledBack);
                 let cause = if bad { "version_bad" } else { "no_proof_in_time" };
                 changes.push(RolloutChange { view: rollout.view(now), cause });
@@ -340,30 +342,30 @@
         changes
     }
 
-    /// Lets all traffic move where the new version has shown that it is good, as the holder
-    /// of the lease.
-    pub fn let_move(&mut self, now: StoreMillis) -> Vec<RolloutChange> {
+    /// Starts to move all traffic to the new versions that have proved good. Only the holder of the
+    /// lease calls it.
+    pub fn start_moving(&mut self, now: StoreMillis) -> Vec<RolloutChange> {
         let mut changes = Vec::new();
-        let trying = |r: &&mut Rollout| r.end.is_none() && r.step.is_none();
+        let trying = |r: &&mut Rollout| r.end.is_none() && r.moving_since.is_none();
         for rollout in self.rollouts.values_mut().filter(trying) {
             let order = &rollout.order;
-            if !order.may_step(now) || order.is_too_late(now) {
+            if !order.may_start_moving(now) || order.is_too_late(now) {
                 continue;
             }
-            if rollout.findings().doubt(order.must_step(now)) == Doubt::None {
-                rollout.step = Some(now);
+            if rollout.findings().blocker(order.is_time_short(now)) == Doubt::None {
+                rollout.moving_since = Some(now);
                 changes.push(RolloutChange { view: rollout.view(now), cause: "version_good" });
             }
         }
         changes
     }
 
-    /// Returns the roll-outs as they are.
+    /// Returns the state of each roll-out.
     pub fn views(&self, now: StoreMillis) -> impl Iterator<Item = RolloutView> {
         self.rollouts.values().map(move |r| r.view(now))
     }
 
-    /// Returns what this process tells the others.
+    /// Returns what this process reports to the others.
     pub fn reports(&self) -> Vec<RolloutReport> {
         self.rollouts.values().map(Rollout::report).collect()
     }
@@ -377,7 +379,7 @@
             stage: self.stage(now),
             arrived,
             exposed,
-            doubt: self.findings().doubt(self.order.must_step(now)),
+            doubt: self.findings().blocker(self.order.is_time_short(now)),
         }
     }
 
@@ -386,9 +388,9 @@
         let sent = self.own.sent.iter().map(|(r, e)| SentRow(*r, e.arrived, e.exposed));
         RolloutReport {
             order: self.order.clone(),
-            step: self.step,
+            moving_since: self.moving_since,
             end: self.end,
-            // What led to the end matters no more.
+            // The counts are not needed any more once the roll-out has ended.
             sent: if ended { Vec::new() } else { sent.collect() },
             answers: if ended { Vec::new() } else { self.own.answers.rows() },
         }
--- a/tests/gateway_rollouts.rs
+++ b/tests/gateway_rollouts.rs
@@ -1,22 +1,22 @@
-//! Roll-outs by many gateways in simulated time: what a bad version gets, how soon it is taken
-//! back, and whether good ones come through in time.
+//! Roll-outs by many gateways in simulated time: how many requests a bad version gets, how soon it
+//! is rolled back, and whether good versions complete in time.
 
 mod rollouts;
 
 use proptest::prelude::*;
-use rollouts::{Fault, Off, Outcome, Plan, Trouble, Version, play};
+use rollouts::{Disabled, Disturbance, Fault, Outcome, Scenario, Version, simulate};
 use tackhollow::gateway::decide::{
     AnswerCount, AnswerRow, Exposing, ExposureTerms, Member, RolloutBook, RolloutEnd, RolloutOrder,
     RolloutReport, RouteKey, SentRow, Side,
 };
 
-/// Plays of each kind of version at each site, unless `ROLLOUT_SEEDS` says how many.
-const SEEDS: u64 = 2;
-/// Longest time after the fiftieth bad answer in which the new version gets a request, in
+/// Runs of each kind of version at each site, unless `ROLLOUT_SEEDS` sets another number.
+const SEEDS_PER_SITE: u64 = 2;
+/// Longest time after the fiftieth bad answer for which the new version still gets requests, in
 /// milliseconds.
-const ROLLED_BACK_WITHIN: u64 = 1_000;
+const ROLLED_BACK_WITHIN_MS: u64 = 1_000;
 
-/// A site, and how much time an order gives there.
+/// A fleet of gateways, with the request rate per second and the order's duration in seconds.
 #[derive(Clone, Copy)]
 struct SiteCase {
     gateways: usize,
@@ -33,21 +33,21 @@
 ];
 
 fn seeds() -> u64 {
-    std::env::var("ROLLOUT_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(SEEDS)
+    std::env::var("ROLLOUT_SEEDS").ok().and_then(|s| s.parse().ok()).unwrap_or(SEEDS_PER_SITE)
 }
 
-fn plan(site: SiteCase, version: Version, seed: u64) -> Plan {
+fn scenario(site: SiteCase, version: Version, seed: u64) -> Scenario {
     let SiteCase { gateways, rate, duration } = site;
-    let (trouble, off) = (Trouble::None, Off::default());
-    Plan { gateways, rate, duration, version, trouble, off, seed }
+    let (disturbance, disabled) = (Disturbance::None, Disabled::default());
+    Scenario { gateways, rate, duration, version, disturbance, disabled, seed }
 }
 
-/// Sums over some plays.
+/// Totals over several runs.
 #[derive(Default)]
-struct Sums {
-    plays: u32,
+struct Totals {
+    runs: u32,
     over_bound: u32,
-    worst_exposure: f64,
+    max_bound_share: f64,
     latest_ms: u64,
     rolled_back: u32,
     completed: u32,
@@ -55,19 +55,19 @@
     cut_off: u64,
 }
 
-impl Sums {
-    fn add(&mut self, plan: Plan, seen: &Outcome) {
-        self.plays += 1;
-        let used = seen.exposed as f64 / seen.bound();
-        self.worst_exposure = self.worst_exposure.max(used);
-        self.over_bound += u32::from(used > 1.0);
+impl Totals {
+    fn add(&mut self, scenario: Scenario, seen: &Outcome) {
+        self.runs += 1;
+        let share = seen.exposed as f64 / seen.bound();
+        self.max_bound_share = self.max_bound_share.max(share);
+        self.over_bound += u32::from(share > 1.0);
         if let Some(fiftieth) = seen.fiftieth {
             self.latest_ms = self.latest_ms.max(seen.last_sent.saturating_sub(fiftieth));
         }
         match seen.end {
             Some((RolloutEnd::Completed, at)) => {
                 self.completed += 1;
-                self.in_time += u32::from(at as f64 <= plan.duration * 1_000.0);
+                self.in_time += u32::from(at as f64 <= scenario.duration * 1_000.0);
                 self.cut_off += seen.cut_off;
             }
             Some((RolloutEnd::RolledBack, _)) => self.rolled_back += 1,
@@ -78,8 +78,8 @@
     fn print(&self, name: &str) {
         println!(
             "| {name} | {} | {:.2} | {} | {} | {} | {} | {} |",
-            self.plays,
-            self.worst_exposure,
+            self.runs,
+            self.max_bound_share,
             self.over_bound,
             self.latest_ms,
             self.rolled_back,
@@ -89,28 +89,28 @@
     }
 }
 
-fn sums(version: Version, trouble: Trouble, off: Off) -> Sums {
-    let mut sums = Sums::default();
+fn totals(version: Version, disturbance: Disturbance, disabled: Disabled) -> Totals {
+    let mut totals = Totals::default();
     for site in SITES {
         for seed in 0..seeds() {
-            let plan = Plan { trouble, off, ..plan(site, version, seed) };
-            let seen = play(plan);
-            sums.add(plan, &seen);
+            let scenario = Scenario { disturbance, disabled, ..scenario(site, version, seed) };
+            let seen = simulate(scenario);
+            totals.add(scenario, &seen);
         }
     }
-    sums
+    totals
 }
 
-fn head() {
+fn print_header() {
     println!(
-        "| version | plays | worst part of the bound | over it | last request (ms) | rolled back | completed in time | cut off |"
+        "| version | runs | largest share of the bound | over it | last request (ms) | rolled back | completed in time | cut off |"
     );
     println!("| --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
 }
 
 #[test]
-fn a_bad_version_is_held_small_and_taken_back() {
-    head();
+fn a_bad_version_stays_within_the_bound_and_is_rolled_back() {
+    print_header();
     let fails = Fault::Fails(0.4);
     let slow = Fault::Slow(5.0);
     let cases = [
@@ -124,77 +124,91 @@
         ("slow on the second route", Version::OnRoute(slow, 1)),
     ];
     for (name, version) in cases {
-        let sums = sums(version, Trouble::None, Off::default());
-        sums.print(name);
-        assert_eq!(sums.completed, 0, "{name}");
-        assert_eq!(sums.over_bound, 0, "{name}: {}", sums.worst_exposure);
-        assert!(sums.latest_ms <= ROLLED_BACK_WITHIN, "{name}: {} ms", sums.latest_ms);
+        let totals = totals(version, Disturbance::None, Disabled::default());
+        totals.print(name);
+        assert_eq!(totals.completed, 0, "{name}");
+        assert_eq!(totals.over_bound, 0, "{name}: {}", totals.max_bound_share);
+        assert!(totals.latest_ms <= ROLLED_BACK_WITHIN_MS, "{name}: {} ms", totals.latest_ms);
     }
 }
 
 #[test]
-fn a_good_version_comes_through_in_time() {
+fn a_good_version_completes_in_time() {
     struct Case {
         name: &'static str,
-        trouble: Trouble,
-        /// Of ten, how many complete in time at least.
+        disturbance: Disturbance,
+        /// Of ten runs, how many complete in time at least.
         in_time: u32,
-        /// Of ten, how many are rolled back at most.
+        /// Of ten runs, how many are rolled back at most.
         rolled_back: u32,
     }
     let cases = [
-        Case { name: "good", trouble: Trouble::None, in_time: 8, rolled_back: 0 },
-        Case { name: "good, in a burst", trouble: Trouble::Burst, in_time: 8, rolled_back: 1 },
-        // There is little time left to tell it from a bad one.
+        Case { name: "good", disturbance: Disturbance::None, in_time: 8, rolled_back: 0 },
+        Case {
+            name: "good, in a burst",
+            disturbance: Disturbance::Burst,
+            in_time: 8,
+            rolled_back: 1,
+        },
+        // The failures leave little time to tell it from a bad version.
         Case {
             name: "good, all fail some",
-            trouble: Trouble::Failing(0.2),
+            disturbance: Disturbance::Failing(0.2),
+            in_time: 5,
+            rolled_back: 4,
+        },
+        // Gateways that are cut off send it no requests, so that few answers are known.
+        Case {
+            name: "good, all cut off",
+            disturbance: Disturbance::Cut,
             in_time: 5,
             rolled_back: 4,
         },
-        // Who hears nothing sends nothing to it, so that little is known of it.
-        Case { name: "good, all cut off", trouble: Trouble::Cut, in_time: 5, rolled_back: 4 },
     ];
-    head();
+    print_header();
     for case in cases {
-        let sums = sums(Version::Good, case.trouble, Off::default());
-        sums.print(case.name);
+        let totals = totals(Version::Good, case.disturbance, Disabled::default());
+        totals.print(case.name);
         let Case { name, in_time, rolled_back, .. } = case;
-        assert!(sums.rolled_back * 10 <= sums.plays * rolled_back, "{name}: {}", sums.rolled_back);
-        assert!(sums.in_time * 10 >= sums.plays * in_time, "{name}: {}", sums.in_time);
-        assert_eq!(sums.cut_off, 0, "{name}");
+        assert!(
+            totals.rolled_back * 10 <= totals.runs * rolled_back,
+            "{name}: {}",
+            totals.rolled_back
+        );
+        assert!(totals.in_time * 10 >= totals.runs * in_time, "{name}: {}", totals.in_time);
+        assert_eq!(totals.cut_off, 0, "{name}");
     }
 }
 
-/// What is seen with a mechanism switched off shows that the plays above can fail.
+/// Disables one mechanism at a time, which shows that the runs above can fail.
 #[test]
 fn each_mechanism_is_needed() {
     struct Case {
         name: &'static str,
-        off: Off,
+        disabled: Disabled,
         version: Version,
-        fails: fn(&Sums) -> bool,
+        fails: fn(&Totals) -> bool,
     }
     let fails = Fault::Fails(0.4);
-    let on = Off::default();
+    let none = Disabled::default();
     let cases = [
         Case {
             name: "no bound",
-            off: Off { bound: true, ..on },
+            disabled: Disabled { bound: true, ..none },
             version: Version::Bad(Fault::Fails(0.1)),
-            fails: |sums| sums.over_bound > 0,
+            fails: |totals| totals.over_bound > 0,
         },
         Case {
-            name: "no verdict",
-            off: Off { proof: true, ..on },
+            name: "no roll-back",
+            disabled: Disabled { roll_back: true, ..none },
             version: Version::UnderLoad(fails, 0.3),
-            fails: |sums| sums.completed > 0 && sums.latest_ms > ROLLED_BACK_WITHIN,
+            fails: |totals| totals.completed > 0 && totals.latest_ms > ROLLED_BACK_WITHIN_MS,
         },
     ];
     for case in cases {
-        let sums = sums(case.version, Trouble::None, case.off);
-        sums.print(case.name);
-        assert!((case.fails)(&sums), "{}", case.name);
+        let totals = totals(case.version, Disturbance::None, case.disabled);
+        totals.print(case.name);
+        assert!((case.fails)(&totals), "{}", case.name);
     }
 }
 
@@ -208,13 +222,13 @@
     }
 }
 
-/// A report of a process whose counts have grown so far.
-fn report(revision: u64, grown: u32, step: bool, end: Option<RolloutEnd>) -> RolloutReport {
+/// Report of a process whose counts have grown to `grown`.
+fn report(revision: u64, grown: u32, moving: bool, end: Option<RolloutEnd>) -> RolloutReport {
     let route = RouteKey::new("plan");
     let count = |all, bad| AnswerCount { all, bad };
     RolloutReport {
         order: order(revision),
-        step: step.then_some(5_000),
+        moving_since: moving.then_some(5_000),
         end,
         sent: vec![SentRow(route, grown * 10, grown)],
         answers: vec![
@@ -230,50 +244,52 @@
         1 => Just(Some(RolloutEnd::RolledBack)),
         1 => Just(Some(RolloutEnd::Completed)),
     ];
-    (0_u8..4, 1_u64..3, 0_u32..40, any::<bool>(), end)
-        .prop_map(|(from, revision, grown, step, end)| (from, report(revision, grown, step, end)))
+    (0_u8..4, 1_u64..3, 0_u32..40, any::<bool>(), end).prop_map(
+        |(from, revision, grown, moving, end)| (from, report(revision, grown, moving, end)),
+    )
 }
 
-fn hear_all(reports: &[(u8, RolloutReport)]) -> RolloutBook {
-    let mut book = RolloutBook::default();
+fn merge_all(reports: &[(u8, RolloutReport)]) -> RolloutBook {
+    let mut tracker = RolloutBook::default();
     for (from, report) in reports {
-        book.hear(&format!("gateway-{from}"), report, true, 0.5);
+        tracker.hear(&format!("gateway-{from}"), report, true, 0.5);
     }
-    book
+    tracker
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Messages in any order, and twice, lead to the same state; what ended stays so.
+    /// Reports merge to the same state in any order and if duplicated; a roll-out that has ended
+    /// stays so.
     #[test]
-    fn any_order_of_messages_leads_to_the_same_verdict(
+    fn any_order_of_reports_leads_to_the_same_state(
         reports in prop::collection::vec(any_report(), 1..20),
         shuffle in any::<u64>(),
     ) {
-        // Of an order that is replaced nothing matters any more.
+        // Reports on an order that was replaced have no effect.
         let newest = reports.iter().map(|(_, r)| r.order.revision).max().unwrap_or_default();
         let mut shuffled: Vec<_> =
             reports.iter().filter(|(_, r)| r.order.revision == newest).cloned().collect();
         shuffled.extend(reports.iter().cloned());
         fastrand::Rng::with_seed(shuffle).shuffle(&mut shuffled);
-        let (mut a, mut b) = (hear_all(&reports), hear_all(&shuffled));
+        let (mut a, mut b) = (merge_all(&reports), merge_all(&shuffled));
         for now in [1_500, 6_000, 9_000] {
-            let causes = |book: &mut RolloutBook| -> Vec<&str> {
-                book.take_back(now, |_| true).iter().map(|c| c.cause).collect()
+            let causes = |tracker: &mut RolloutBook| -> Vec<&str> {
+                tracker.roll_back(now, |_| true).iter().map(|c| c.cause).collect()
             };
             prop_assert_eq!(causes(&mut a), causes(&mut b));
-            let views = |book: &RolloutBook| book.views(now).collect::<Vec<_>>();
+            let views = |tracker: &RolloutBook| tracker.views(now).collect::<Vec<_>>();
             prop_assert_eq!(views(&a), views(&b));
         }
         let ended = reports.iter().filter(|(_, r)| r.order.revision == newest);
         let end = ended.filter_map(|(_, r)| r.end).max();
-        let told = a.reports().into_iter().next().and_then(|r| r.end);
-        prop_assert!(told >= end, "an end is not taken back: {:?}, {:?}", told, end);
+        let reported_end = a.reports().into_iter().next().and_then(|r| r.end);
+        prop_assert!(reported_end >= end, "an end was lost: {:?}, {:?}", reported_end, end);
     }
 
-    /// One gateway that hears nothing of the others sends nothing to a version on trial, and
-    /// one that does keeps its part of the bound.
+    /// A gateway that hears at most half of all processes, itself included, sends no requests to a
+    /// version on trial; one that hears more keeps its part of the bound.
     #[test]
     fn a_gateway_keeps_its_part_of_the_bound(
         requests in 1_u32..600,
@@ -283,14 +299,14 @@
     ) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let terms = ExposureTerms { share: 0.1, slack: 50.0 };
-        let mut book = RolloutBook::default();
-        book.take_order(order(1), true, rng.f64());
+        let mut tracker = RolloutBook::default();
+        tracker.take_order(order(1), true, rng.f64());
         let member = Member { heard: heard.min(members), members };
         let mut exposed = 0.0;
         for n in 0..requests {
             let now = 1_000 + u64::from(n);
             let cx = Exposing { terms, member, now, draw: rng.f64() };
-            let side = book.choose_side("llm", RouteKey::new("plan"), &cx);
+            let side = tracker.choose_side("llm", RouteKey::new("plan"), &cx);
             exposed += f64::from(u8::from(side == Some(Side::New)));
         }
         let slack = terms.slack / members as f64;
--- a/tests/rollouts/mod.rs
+++ b/tests/rollouts/mod.rs
@@ -1,5 +1,5 @@
-//! Gateways that roll out a version, in simulated time: the real decisions, upstreams of two
-//! versions and messages of a few lines.
+//! Simulation of gateways that roll out a version: the real decisions, with simulated time,
+//! upstreams and messages.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,45 +8,45 @@
     RolloutStage, RouteKey, Side,
 };
 
-/// One step of simulated time, in milliseconds.
+/// Step of simulated time, in milliseconds.
 const STEP: u64 = 25;
-/// Between heartbeats of a gateway.
-const BEAT: u64 = 150;
-/// Gateways that hear of each heartbeat, directly or as it is passed on.
+/// Interval between heartbeats of a gateway, in milliseconds.
+const HEARTBEAT: u64 = 150;
+/// Gateways that receive each heartbeat, directly or relayed.
 const FAN_OUT: usize = 24;
-/// What a heartbeat takes, passing on included.
-const HEARD_AFTER: std::ops::Range<u64> = 5..300;
-/// One heartbeat of so many is lost.
+/// Delay of a heartbeat in milliseconds, relaying included.
+const HEARTBEAT_DELAY: std::ops::Range<u64> = 5..300;
+/// One heartbeat of this many is lost.
 const LOST_ONE_IN: u32 = 20;
-/// For how long nothing may run at the earlier version before it may stop.
-const AT_REST: u64 = 900;
-/// What the store takes to confirm a write.
-const CONFIRMED_AFTER: u64 = 30;
-/// When the upstreams of the new version are there.
-const READY_AFTER: u64 = 600;
-/// Span over which the load of the new version is measured.
-const LOAD_SPAN: u64 = 400;
-/// Mean time in milliseconds from which requests are streams, which are as long as their text.
-const LONG: f64 = 200.0;
-/// Service that the order is about.
+/// Time in milliseconds for which nothing may be running at the earlier version before it may stop.
+const IDLE_BEFORE_COMPLETION: u64 = 900;
+/// Time in milliseconds until the store confirms a write.
+const CONFIRM_DELAY: u64 = 30;
+/// Time in milliseconds after which the upstreams of the new version are ready.
+const READY_AT: u64 = 600;
+/// Window in milliseconds over which the load of the new version is measured.
+const LOAD_WINDOW: u64 = 400;
+/// Mean time in milliseconds from which requests are streams, whose length depends on their text.
+const STREAM_MEAN: f64 = 200.0;
+/// Service that the order is for.
 const SERVICE: &str = "llm";
 
-/// How a new version is.
+/// Quality of a new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Version {
-    /// As good as the one before.
+    /// As good as the earlier version.
     Good,
-    /// Bad from the beginning.
+    /// Bad from the start.
     Bad(Fault),
-    /// Bad from this share of the order's time on.
+    /// Bad from this share of the order's duration on.
     Later(Fault, f64),
-    /// Bad while this share of the traffic or more goes to each of its upstreams.
+    /// Bad while it gets at least this share of the traffic.
     UnderLoad(Fault, f64),
-    /// Bad on one route, the first being the one with most requests.
+    /// Bad on one route only; route 0 has the most requests.
     OnRoute(Fault, usize),
 }
 
-/// What is wrong with a version.
+/// Fault of a bad version.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// This share of its answers are failures.
@@ -55,70 +55,70 @@
     Slow(f64),
 }
 
-/// What else happens meanwhile.
+/// Disturbance that affects the fleet for some seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum Disturbance {
     /// Nothing.
     None,
-    /// For some seconds twice the requests come, and all answers take twice as long.
+    /// The request rate and all answer times double.
     Burst,
-    /// For some seconds this share of the answers of both versions are failures.
+    /// This share of the answers of both versions are failures.
     Failing(f64),
-    /// Most gateways hear nothing of the others for some seconds.
+    /// All gateways but the first hear none of the others.
     Cut,
 }
 
-/// A roll-out to be played.
+/// Parameters of a simulated roll-out.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
-    /// Gateways.
+pub struct Scenario {
+    /// Number of gateways.
     pub gateways: usize,
-    /// Requests a second to the service.
+    /// Requests per second to the service.
     pub rate: f64,
-    /// Time that the order gives, in seconds.
+    /// Duration that the order sets, in seconds.
     pub duration: f64,
-    /// The new version.
+    /// Quality of the new version.
     pub version: Version,
-    /// What else happens.
-    pub trouble: Trouble,
-    /// Mechanisms that are switched off.
-    pub off: Off,
-    /// Seed of what is drawn.
+    /// Disturbance during the roll-out.
+    pub disturbance: Disturbance,
+    /// Mechanisms that are disabled.
+    pub disabled: Disabled,
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// What is switched off.
+/// Mechanisms to disable.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Off {
-    /// Gateways do not judge by themselves; only the holder of the lease does.
+pub struct Disabled {
+    /// Only the first gateway, which holds the lease, rolls a version back.
     pub own_verdicts: bool,
-    /// Nothing bounds what a version on trial gets.
+    /// The requests to a version on trial are not bounded.
     pub bound: bool,
-    /// All traffic moves at once, whatever the answers say.
-    pub proof: bool,
+    /// No version is rolled back, whatever its answers.
+    pub roll_back: bool,
 }
 
-/// What was seen.
+/// Result of a simulated roll-out.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Requests that reached the service within the order's time.
+    /// Requests to the service within the order's duration.
     pub arrived: u64,
-    /// Those among them that the new version got.
+    /// Requests among them that the new version got.
     pub exposed: u64,
-    /// When the fiftieth bad answer came.
+    /// When the fiftieth bad answer arrived, in milliseconds.
     pub fiftieth: Option<u64>,
-    /// When the last request was sent to the new version.
+    /// When the last request was sent to the new version, in milliseconds.
     pub last_sent: u64,
-    /// How it ended, and when.
+    /// How the roll-out ended, and when in milliseconds.
     pub end: Option<(RolloutEnd, u64)>,
-    /// What kept the version from all traffic when it was taken back.
-    pub doubt: Option<Doubt>,
-    /// Requests that ran at the earlier version when it stopped.
+    /// What kept all traffic from moving when the version was rolled back.
+    pub blocker: Option<Doubt>,
+    /// Requests still running at the earlier version when it stopped.
     pub cut_off: u64,
 }
 
 impl Outcome {
-    /// Returns the most that a bad version may get.
+    /// Returns the number of requests that a bad version may get.
     pub fn bound(&self) -> f64 {
         TERMS.share * self.arrived as f64 + TERMS.slack
     }
@@ -145,63 +145,63 @@
     reports: Vec<RolloutReport>,
 }
 
-/// Plays a roll-out.
-pub fn play(plan: Plan) -> Outcome {
-    Play::new(plan).run()
+/// Simulates a roll-out.
+pub fn simulate(scenario: Scenario) -> Outcome {
+    Simulation::new(scenario).run()
 }
 
-struct Play {
-    plan: Plan,
+struct Simulation {
+    scenario: Scenario,
     rng: fastrand::Rng,
     now: u64,
-    books: Vec<RolloutBook>,
+    trackers: Vec<RolloutBook>,
     answers: BTreeMap<u64, Vec<Answer>>,
     messages: BTreeMap<u64, Vec<Message>>,
     running_at_earlier: i64,
-    at_rest: Option<u64>,
+    idle_since: Option<u64>,
     confirmed_at: Option<u64>,
-    /// When requests were sent of late to the new version, and in all.
-    recent: VecDeque<u64>,
+    /// When requests were recently sent to the new version, and in total.
+    recent_new: VecDeque<u64>,
     recent_all: VecDeque<u64>,
     bad: u64,
     outcome: Outcome,
 }
 
-impl Play {
-    fn new(plan: Plan) -> Self {
-        let mut rng = fastrand::Rng::with_seed(plan.seed);
+impl Simulation {
+    fn new(scenario: Scenario) -> Self {
+        let mut rng = fastrand::Rng::with_seed(scenario.seed);
         let order = RolloutOrder {
             service: SERVICE.to_owned(),
             destination: "v2".to_owned(),
-            duration: std::time::Duration::from_secs_f64(plan.duration),
+            duration: std::time::Duration::from_secs_f64(scenario.duration),
             revision: 7,
             started: 0,
         };
-        let mut books = vec![RolloutBook::default(); plan.gateways];
-        // What is usual was learnt before, by requests spread over all gateways.
-        for book in &mut books {
+        let mut trackers = vec![RolloutBook::default(); scenario.gateways];
+        // Typical times were learnt before the order, from requests spread over all gateways.
+        for tracker in &mut trackers {
             for (route, (_, _, mean)) in ROUTES.iter().enumerate() {
                 for _ in 0..20 {
-                    let took = time(&mut rng, *mean) / 1_000.0;
-                    book.note_answer(&SERVICE.to_owned(), key(route), None, Some(took), 0);
+                    let took = draw_time(&mut rng, *mean) / 1_000.0;
+                    tracker.note_answer(&SERVICE.to_owned(), key(route), None, Some(took), 0);
                 }
             }
         }
-        // Few read the order themselves; the others hear of it.
-        for book in books.iter_mut().take(3) {
-            book.take_order(order.clone(), true, rng.f64());
+        // Only a few gateways read the order; the others learn of it by heartbeats.
+        for tracker in trackers.iter_mut().take(3) {
+            tracker.take_order(order.clone(), true, rng.f64());
         }
         Self {
-            plan,
+            scenario,
             rng,
             now: 0,
-            books,
+            trackers,
             answers: BTreeMap::new(),
             messages: BTreeMap::new(),
             running_at_earlier: 0,
-            at_rest: None,
+            idle_since: None,
             confirmed_at: None,
-            recent: VecDeque::new(),
+            recent_new: VecDeque::new(),
             recent_all: VecDeque::new(),
             bad: 0,
             outcome: Outcome::default(),
@@ -209,13 +209,13 @@
     }
 
     fn end(&self) -> u64 {
-        (self.plan.duration * 1_000.0) as u64
+        (self.scenario.duration * 1_000.0) as u64
     }
 
     fn run(mut self) -> Outcome {
         while self.now < self.end() + 8_000 {
             self.requests();
-            self.take_answers();
+            self.deliver_answers();
             self.heartbeats();
             self.judge();
             self.now += STEP;
@@ -223,14 +223,14 @@
         self.outcome
     }
 
-    fn in_trouble(&self) -> bool {
+    fn is_disturbed(&self) -> bool {
         let (from, to) = (self.end() * 30 / 100, self.end() * 55 / 100);
         (from..to).contains(&self.now)
     }
 
     fn requests(&mut self) {
-        let burst = self.plan.trouble == Trouble::Burst && self.in_trouble();
-        let rate = self.plan.rate * if burst { 2.0 } else { 1.0 };
+        let burst = self.scenario.disturbance == Disturbance::Burst && self.is_disturbed();
+        let rate = self.scenario.rate * if burst { 2.0 } else { 1.0 };
         let mean = rate * STEP as f64 / 1_000.0;
         let count = mean.floor() as u64 + u64::from(self.rng.f64() < mean.fract());
         for _ in 0..count {
@@ -239,21 +239,21 @@
     }
 
     fn request(&mut self, burst: bool) {
-        let gateway = self.rng.usize(..self.plan.gateways);
+        let gateway = self.rng.usize(..self.scenario.gateways);
         let draw = self.rng.f64();
         let route = if draw < 0.5 { 0 } else { 1 + usize::from(draw >= 0.85) };
-        let heard = match self.plan.trouble == Trouble::Cut && self.in_trouble() {
+        let heard = match self.scenario.disturbance == Disturbance::Cut && self.is_disturbed() {
             true if gateway > 0 => 1,
-            _ => self.plan.gateways,
+            _ => self.scenario.gateways,
         };
-        let terms = match self.plan.off.bound {
+        let terms = match self.scenario.disabled.bound {
             true => ExposureTerms { share: 1.0, slack: f64::INFINITY },
             false => TERMS,
         };
-        let member = Member { heard, members: self.plan.gateways };
+        let member = Member { heard, members: self.scenario.gateways };
         let cx = Exposing { terms, member, now: self.now, draw: self.rng.f64() };
-        let side = self.books[gateway].choose_side(SERVICE, key(route), &cx);
-        let new = side == Some(Side::New) && self.now >= READY_AFTER;
+        let side = self.trackers[gateway].choose_side(SERVICE, key(route), &cx);
+        let new = side == Some(Side::New) && self.now >= READY_AT;
         let side = if new { Side::New } else { Side::Earlier };
         self.recent_all.push_back(self.now);
         if self.now < self.end() {
@@ -262,7 +262,7 @@
         }
         if new {
             self.outcome.last_sent = self.now;
-            self.recent.push_back(self.now);
+            self.recent_new.push_back(self.now);
         } else {
             self.running_at_earlier += 1;
         }
@@ -270,19 +270,19 @@
     }
 
     fn share_of_new(&mut self) -> f64 {
-        let since = self.now.saturating_sub(LOAD_SPAN);
-        for times in [&mut self.recent, &mut self.recent_all] {
+        let since = self.now.saturating_sub(LOAD_WINDOW);
+        for times in [&mut self.recent_new, &mut self.recent_all] {
             while times.front().is_some_and(|t| *t < since) {
                 times.pop_front();
             }
         }
-        self.recent.len() as f64 / self.recent_all.len().max(1) as f64
+        self.recent_new.len() as f64 / self.recent_all.len().max(1) as f64
     }
 
-    /// Returns what is wrong with an answer of the new version.
+    /// Returns the fault that an answer of the new version has.
     fn fault(&mut self, route: usize) -> Option<Fault> {
         let share = self.share_of_new();
-        match self.plan.version {
+        match self.scenario.version {
             Version::Good => None,
             Version::Bad(fault) => Some(fault),
             Version::Later(fault, after) => {
@@ -295,35 +295,35 @@
 
     fn answer(&mut self, gateway: usize, route: usize, side: Side, burst: bool) {
         let (_, failing, mean) = ROUTES[route];
-        let mut ms = time(&mut self.rng, mean) * if burst { 2.0 } else { 1.0 };
+        let mut ms = draw_time(&mut self.rng, mean) * if burst { 2.0 } else { 1.0 };
         let mut fails = self.rng.f64() < failing;
-        if let Trouble::Failing(share) = self.plan.trouble
-            && self.in_trouble()
+        if let Disturbance::Failing(share) = self.scenario.disturbance
+            && self.is_disturbed()
         {
             fails |= self.rng.f64() < share;
         }
-        let mut spoilt = false;
+        let mut faulty = false;
         if side == Side::New {
             match self.fault(route) {
-                Some(Fault::Fails(share)) => spoilt = self.rng.f64() < share,
+                Some(Fault::Fails(share)) => faulty = self.rng.f64() < share,
                 Some(Fault::Slow(times)) => {
                     ms *= times;
-                    spoilt = true;
+                    faulty = true;
                 }
                 None => {}
             }
         }
-        self.bad += u64::from(spoilt);
-        if spoilt && self.bad == 50 {
+        self.bad += u64::from(faulty);
+        if faulty && self.bad == 50 {
             self.outcome.fiftieth = Some(self.now + ms as u64);
         }
-        fails |= spoilt && !matches!(self.fault(route), Some(Fault::Slow(_)));
+        fails |= faulty && !matches!(self.fault(route), Some(Fault::Slow(_)));
         let at = self.now + ms as u64;
         let took = (!fails).then_some(ms / 1_000.0);
         self.answers.entry(at).or_default().push(Answer { at, gateway, route, side, took });
     }
 
-    fn take_answers(&mut self) {
+    fn deliver_answers(&mut self) {
         let later = self.answers.split_off(&(self.now + 1));
         for answer in std::mem::replace(&mut self.answers, later).into_values().flatten() {
             let Answer { at, gateway, route, side, took } = answer;
@@ -331,7 +331,7 @@
                 self.running_at_earlier -= 1;
             }
             let service = SERVICE.to_owned();
-            self.books[gateway].note_answer(&service, key(route), Some(side), took, at);
+            self.trackers[gateway].note_answer(&service, key(route), Some(side), took, at);
         }
     }
 
@@ -341,23 +341,23 @@
             let chance = self.rng.f64();
             for report in &message.reports {
                 let process = format!("gateway-{}", message.from);
-                self.books[message.to].hear(&process, report, message.at < 1_000, chance);
+                self.trackers[message.to].hear(&process, report, message.at < 1_000, chance);
             }
         }
-        let cut = self.plan.trouble == Trouble::Cut && self.in_trouble();
-        for from in 0..self.plan.gateways {
-            let offset = from as u64 * 37 % BEAT / STEP * STEP;
-            if self.now % BEAT != offset || cut {
+        let cut = self.scenario.disturbance == Disturbance::Cut && self.is_disturbed();
+        for from in 0..self.scenario.gateways {
+            let offset = from as u64 * 37 % HEARTBEAT / STEP * STEP;
+            if self.now % HEARTBEAT != offset || cut {
                 continue;
             }
-            let reports = self.books[from].reports();
+            let reports = self.trackers[from].reports();
             if reports.is_empty() {
                 continue;
             }
-            let others = (0..self.plan.gateways).filter(|to| *to != from);
+            let others = (0..self.scenario.gateways).filter(|to| *to != from);
             for to in self.rng.choose_multiple(others, FAN_OUT) {
                 if self.rng.u32(..LOST_ONE_IN) > 0 {
-                    let at = self.now + self.rng.u64(HEARD_AFTER);
+                    let at = self.now + self.rng.u64(HEARTBEAT_DELAY);
                     let message = Message { at, to, from, reports: reports.clone() };
                     self.messages.entry(at).or_default().push(message);
                 }
@@ -366,24 +366,24 @@
     }
 
     fn judge(&mut self) {
-        for (i, book) in self.books.iter_mut().enumerate() {
-            let offset = i as u64 * 53 % BEAT / STEP * STEP;
-            if self.now % BEAT != offset || (self.plan.off.own_verdicts && i > 0) {
+        for (i, tracker) in self.trackers.iter_mut().enumerate() {
+            let offset = i as u64 * 53 % HEARTBEAT / STEP * STEP;
+            if self.now % HEARTBEAT != offset || (self.scenario.disabled.own_verdicts && i > 0) {
                 continue;
             }
-            if !self.plan.off.proof {
-                book.take_back(self.now, |_| true);
+            if !self.scenario.disabled.roll_back {
+                tracker.roll_back(self.now, |_| true);
             }
         }
-        if self.now.is_multiple_of(BEAT) {
-            self.hold_lease();
+        if self.now.is_multiple_of(HEARTBEAT) {
+            self.act_as_holder();
         }
     }
 
-    /// The first gateway holds the lease.
-    fn hold_lease(&mut self) {
-        let (now, holder) = (self.now, &mut self.books[0]);
-        holder.let_move(now);
+    /// Acts as the holder of the lease, which is the first gateway.
+    fn act_as_holder(&mut self) {
+        let (now, holder) = (self.now, &mut self.trackers[0]);
+        holder.start_moving(now);
         let Some(view) = holder.views(now).next() else {
             return;
         };
@@ -398,15 +398,15 @@
         match view.stage {
             RolloutStage::Ended(RolloutEnd::RolledBack) => {
                 self.outcome.end.get_or_insert((RolloutEnd::RolledBack, now));
-                self.outcome.doubt.get_or_insert(view.doubt);
+                self.outcome.blocker.get_or_insert(view.doubt);
             }
             RolloutStage::Moving(1.0) if self.running_at_earlier == 0 => {
-                let since = *self.at_rest.get_or_insert(now);
-                if now - since >= AT_REST && self.confirmed_at.is_none() {
-                    self.confirmed_at = Some(now + CONFIRMED_AFTER);
+                let since = *self.idle_since.get_or_insert(now);
+                if now - since >= IDLE_BEFORE_COMPLETION && self.confirmed_at.is_none() {
+                    self.confirmed_at = Some(now + CONFIRM_DELAY);
                 }
             }
-            _ => self.at_rest = None,
+            _ => self.idle_since = None,
         }
     }
 }
@@ -415,9 +415,9 @@
     RouteKey::new(["confirm", "plan", "check"][route])
 }
 
-/// Draws a time whose mean is about `mean`; short calls have a long tail.
-fn time(rng: &mut fastrand::Rng, mean: f64) -> f64 {
+/// Draws a time with a mean of about `mean`; short calls have a long tail.
+fn draw_time(rng: &mut fastrand::Rng, mean: f64) -> f64 {
     let spread = (0..6).map(|_| rng.f64()).sum::<f64>() - 3.0;
-    let tail = if mean < LONG && rng.f64() < 0.01 { 5.0 } else { 1.0 };
+    let tail = if mean < STREAM_MEAN && rng.f64() < 0.01 { 5.0 } else { 1.0 };
     mean * (0.6 * spread).exp() * tail
 }
