--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -1,4 +1,4 @@
-//! What every part of the gateway holds on to.
+//! Shared context of a gateway process.
 
 use std::{cell::RefCell, rc::Rc, time::Instant};
 
@@ -9,7 +9,7 @@
     model::{Followed, Lifetime},
     net::{Phase, Pool, Shutdown},
     peering::ProcessId,
-    reactor::Wake,
+    reactor::ControllerWaker,
     request::{EndChecks, Grants},
     telemetry::{Event, GatewayMetrics, Journal},
 };
@@ -20,42 +20,43 @@
     settings::GatewaySettings,
 };
 
-/// What every part of the gateway holds on to.
+/// Shared context of a gateway process: settings, state, clients and telemetry. Controllers and
+/// request tasks hold it in an `Rc`.
 #[derive(Debug)]
 pub struct Gateway {
-    /// Settings.
+    /// Settings in force; partly replaced when they are reloaded.
     pub settings: RefCell<GatewaySettings>,
-    /// Name of this process.
+    /// Id of this process: its host's name, a dot, and the incarnation in hexadecimal.
     pub process: ProcessId,
-    /// Number drawn at the start of this process.
+    /// Random number that tells this process from earlier ones on the same host.
     pub incarnation: Incarnation,
-    /// When this process started.
+    /// When this process started, by [`clock`].
     pub started: Instant,
-    /// What this process believes.
+    /// Blackboard that controllers and request tasks share.
     pub board: RefCell<Board>,
-    /// Connections to upstreams.
+    /// Connection pool for upstreams.
     pub pool: Pool,
-    /// Looks whether upstreams have ended.
+    /// Checks whether upstreams have terminated.
     pub end_checks: EndChecks,
-    /// Asks other gateways for requests of their parts of limits.
+    /// Borrows requests from other gateways' shares of upstream rate limits.
     pub grants: Grants,
     /// Client of the platform's store.
     pub store: StoreClient,
-    /// Client of the platform's API.
+    /// Client of the platform's API for engine orders and usage reports.
     pub duties: DutyClient,
-    /// How far this process has got with leaving.
+    /// Phase of the shutdown of this process.
     pub shutdown: Shutdown,
-    /// The log.
+    /// Writer of structured log events.
     pub journal: Journal,
-    /// Metrics.
+    /// Metrics of this process.
     pub metrics: GatewayMetrics,
-    /// Wakes the controllers after a message to one of them.
-    pub wake: Wake,
+    /// Wakes the task that runs the controllers.
+    pub waker: ControllerWaker,
     controllers: RefCell<Option<Rc<Controllers>>>,
 }
 
 impl Gateway {
-    /// Creates the context of a process that starts now.
+    /// Creates the context of a process that starts now. Its controllers are set later.
     pub fn new(
         settings: GatewaySettings,
         incarnation: Incarnation,
@@ -80,7 +81,7 @@
             shutdown: Shutdown::default(),
             journal,
             metrics: GatewayMetrics::new(),
-            wake: Wake::default(),
+            waker: ControllerWaker::default(),
             controllers: RefCell::new(None),
         }
     }
@@ -90,25 +91,27 @@
         self.journal.write(event);
     }
 
-    /// Makes the controllers known, once they have started.
+    /// Sets the controllers once they have started. Messages to them before that are discarded.
     pub fn set_controllers(&self, controllers: Rc<Controllers>) {
         *self.controllers.borrow_mut() = Some(controllers);
     }
 
-    /// Hands a message to the controllers and wakes them.
+    /// Calls `message`, which queues calls to controllers, and wakes the task that runs them.
     pub fn tell(&self, message: impl FnOnce(&Controllers)) {
         if let Some(controllers) = self.controllers.borrow().as_ref() {
             message(controllers);
         }
-        self.wake.wake();
+        self.waker.wake();
     }
 
-    /// Returns how old what is known of something is, in milliseconds, for the log.
+    /// Returns the age of the knowledge of a followed table in milliseconds, for the log; `None` if
+    /// it was never read.
     pub fn age_ms(&self, of: Followed, now: Instant) -> Option<u64> {
         self.board.borrow().age(of, now).map(|age| age.as_millis() as u64)
     }
 
-    /// Returns whether callers should use this process.
+    /// Returns whether this process is ready for callers' requests: it is not shutting down, and
+    /// knows the configuration, the upstreams and the quarantine verdicts.
     pub fn is_ready(&self) -> bool {
         let board = self.board.borrow();
         self.shutdown.phase() == Phase::Serving
@@ -117,8 +120,8 @@
             && board.knows_crashes(clock::now())
     }
 
-    /// Logs and counts verdicts on requests that crash upstreams; `source` says who
-    /// came to them.
+    /// Logs changed quarantine verdicts on requests that crash upstreams, and updates the metric;
+    /// `source` names their origin in the log.
     pub fn note_verdicts(&self, changes: &[Change], source: &str) {
         for change in changes {
             self.log(&Event::Verdict {
@@ -135,23 +138,24 @@
         }
     }
 
-    /// Logs and counts that an upstream said that it leaves; `request` is the one whose answer
-    /// said so, empty if another gateway tells it.
+    /// Logs and counts that an upstream announced that it is leaving. `request` is the request
+    /// whose answer carried the announcement, empty if another gateway passed it on.
     pub fn log_leaving(&self, upstream: Lifetime, request: &str) {
         let board = self.board.borrow();
         self.log(&Event::SaidLeaving { upstream: board.upstream_name(upstream), request });
         self.metrics.said_leaving.inc();
     }
 
-    /// Logs that the rate limit of an upstream has changed; `request` is the one whose answer
-    /// said so, empty if another gateway tells it.
+    /// Logs that the rate limit of an upstream has changed. `request` is the request whose answer
+    /// carried the limit, empty if another gateway passed it on.
     pub fn log_limit(&self, upstream: Lifetime, notice: LimitNotice, request: &str) {
         let board = self.board.borrow();
         let upstream = board.upstream_name(upstream);
         self.log(&Event::RateLimit { upstream, rate: notice.rate, request });
     }
 
-    /// Notes whether the store answered, and logs when that changes.
+    /// Records whether a call to the store succeeded, and logs when the store becomes unavailable
+    /// or available again.
     pub fn note_store(&self, error: Option<&PlatformError>) {
         let now = clock::now();
         self.board.borrow_mut().steadiness.note(error.is_none(), now);
--- a/src/gateway/controllers/asking.rs
+++ b/src/gateway/controllers/asking.rs
@@ -1,4 +1,4 @@
-//! Questions to other gateways, and whom messages go to.
+//! HTTP requests to other gateways, and the random choice of message recipients.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,25 +8,26 @@
 
 use crate::gateway::net::{connect, json_request};
 
-/// Longest wait for another gateway's answer.
-const ASK_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of connecting to another gateway, and of the whole request.
+const PEER_REQUEST_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Asks another gateway; `None` if it does not answer in time.
+/// Sends a GET request to another gateway and returns the response body; `None` if there is no
+/// response with status 200 within [`PEER_REQUEST_TIMEOUT`].
 pub(super) async fn ask(from: SocketAddr, path: &str) -> Option<Bytes> {
-    let asking = async {
-        let mut connection = connect(from, ASK_TIMEOUT).await.ok()?;
+    let exchange = async {
+        let mut connection = connect(from, PEER_REQUEST_TIMEOUT).await.ok()?;
         let request = json_request(Method::GET, path, &from.to_string(), Bytes::new());
-        let answer = connection.call(request).await.ok()?;
-        (answer.status == StatusCode::OK).then_some(answer.body)
+        let response = connection.call(request).await.ok()?;
+        (response.status == StatusCode::OK).then_some(response.body)
     };
-    let answer = timeout(ASK_TIMEOUT, asking).await.ok().flatten();
-    if answer.is_none() {
-        log::debug!("{from} did not answer {path}");
+    let response = timeout(PEER_REQUEST_TIMEOUT, exchange).await.ok().flatten();
+    if response.is_none() {
+        log::debug!("gateway {from} did not answer {path}");
     }
-    answer
+    response
 }
 
-/// Returns at most `most` of the addresses, drawn at random.
-pub(super) fn sample(addresses: &[SocketAddr], most: usize) -> Vec<SocketAddr> {
-    fastrand::choose_multiple(addresses.iter().copied(), most)
+/// Returns up to `max` of the addresses, chosen at random.
+pub(super) fn sample(addresses: &[SocketAddr], max: usize) -> Vec<SocketAddr> {
+    fastrand::choose_multiple(addresses.iter().copied(), max)
 }
--- a/src/gateway/controllers/capacity.rs
+++ b/src/gateway/controllers/capacity.rs
@@ -1,4 +1,5 @@
-//! Orders of engines, given by the holder of the lease.
+//! Autoscaling: the holder of the lease compares the engines that each service needs with those
+//! it has, and orders engines from the platform.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -26,24 +27,24 @@
     telemetry,
 };
 
-/// Between looks at the load.
-const PERIOD: Duration = Duration::from_millis(500);
-/// How long after the load begins the number planned for the start is kept: by
-/// then its rate is known and the engines' caches are warm.
-const START_FOR: Duration = Duration::from_secs(8);
+/// Interval between planning rounds.
+const PLAN_PERIOD: Duration = Duration::from_millis(500);
+/// How long after the first load of a service the number of engines planned for its start is a
+/// lower bound: by then the request rate is known and the engines' caches are warm.
+const STARTUP_WINDOW: Duration = Duration::from_secs(8);
 
-/// Controller of the number of engines.
+/// Controller of the number of engines of each service.
 #[derive(Debug)]
 pub struct Capacity {
     gateway: Rc<Gateway>,
     timer: stakker::MaxTimerKey,
     orders: OrderBook,
     loaded_since: HashMap<ServiceName, Instant>,
-    needs: HashMap<ServiceName, NeedMeter>,
+    need_meters: HashMap<ServiceName, NeedMeter>,
 }
 
 impl Capacity {
-    /// Starts the controller.
+    /// Creates the controller and starts its planning rounds.
     pub fn init(cx: CX![], gateway: Rc<Gateway>) -> Option<Self> {
         call!([cx], tick());
         let timer = stakker::MaxTimerKey::default();
@@ -52,23 +53,23 @@
             timer,
             orders: OrderBook::default(),
             loaded_since: HashMap::new(),
-            needs: HashMap::new(),
+            need_meters: HashMap::new(),
         })
     }
 
-    /// Looks at the engines at once: some may have announced that they go.
+    /// Plans at once after a change of the list of upstreams: some engines may be draining.
     pub fn fleet_changed(&mut self, cx: CX![]) {
         self.plan(cx.now());
     }
 
     fn tick(&mut self, cx: CX![]) {
         let now = cx.now();
-        timer_max!(&mut self.timer, now + PERIOD, [cx], tick());
+        timer_max!(&mut self.timer, now + PLAN_PERIOD, [cx], tick());
         self.plan(now);
     }
 
-    /// Notes since when services have load, whoever holds the lease.
-    fn note_load(&mut self, now: Instant) {
+    /// Records when the load of each service began, whether or not this process holds the lease.
+    fn record_load_start(&mut self, now: Instant) {
         let board = self.gateway.board.borrow();
         let services = board.configuration.iter().flat_map(|c| c.services.keys());
         for service in services.filter(|s| board.total_demand(s, now) > 0.0) {
@@ -76,29 +77,29 @@
         }
     }
 
-    /// Returns the engines needed at least while the load is not known yet.
-    fn floor(&self, service: &ServiceName, at_start: f64, now: Instant) -> f64 {
+    /// Returns the lower bound of engines while the load is too new to be measured.
+    fn startup_floor(&self, service: &ServiceName, at_start: f64, now: Instant) -> f64 {
         let loaded = self.loaded_since.get(service);
-        let known = loaded.is_some_and(|t| now.saturating_duration_since(*t) >= START_FOR);
+        let known = loaded.is_some_and(|t| now.saturating_duration_since(*t) >= STARTUP_WINDOW);
         if known { 0.0 } else { at_start }
     }
 
-    /// Returns the need that an earlier holder left, until this process has seen
-    /// enough of the load itself. Without it, a kill of all processes during a wave
-    /// of reclaims gave up reclaimable engines that were not to be had again.
-    fn kept_need(&self, service: &ServiceName, now: Instant) -> f64 {
+    /// Returns the need that an earlier lease holder persisted, or 0 once this process has
+    /// measured the load for long enough itself. Without it, a kill of all gateways during a
+    /// wave of reclaims released reclaimable engines that were not available again.
+    fn inherited_need(&self, service: &ServiceName, now: Instant) -> f64 {
         let up = now.saturating_duration_since(self.gateway.started);
         let kept = self.gateway.board.borrow().kept_needs.get(service).copied();
-        kept.filter(|_| up < START_FOR).unwrap_or_default()
+        kept.filter(|_| up < STARTUP_WINDOW).unwrap_or_default()
     }
 
     fn plan(&mut self, now: Instant) {
-        self.note_load(now);
+        self.record_load_start(now);
         let configuration = self.gateway.board.borrow().configuration.clone();
         let services = configuration.iter().flat_map(|c| c.services.values());
         let scaled: Vec<_> =
             services.filter_map(|s| Some((&s.name, s.scaling.as_ref()?))).collect();
-        // Also without the lease, so that the next holder knows the need of late.
+        // Measured without the lease too: the next holder needs the recent history.
         let needs: Vec<Need> =
             scaled.iter().map(|(name, scaling)| self.need(name, scaling.boot, now)).collect();
         let board = self.gateway.board.borrow();
@@ -115,13 +116,13 @@
         self.gateway.board.borrow_mut().capacity.orders = self.orders.reports(now);
     }
 
-    /// Returns the engines that the load of a service has needed of late.
+    /// Measures the load of a service and returns the engines that it has needed recently.
     fn need(&mut self, service: &ServiceName, boot: Duration, now: Instant) -> Need {
         let settings = self.gateway.settings.borrow();
         let board = self.gateway.board.borrow();
         let busy = board.busy(service, board.speed(service, &settings.off), now);
         let current = engines_needed(busy, board.slots(service), settings.capacity.safety);
-        let meter = self.needs.entry(service.clone()).or_insert_with(|| NeedMeter::new(boot));
+        let meter = self.need_meters.entry(service.clone()).or_insert_with(|| NeedMeter::new(boot));
         let need = meter.note(current, now);
         match settings.off.is_on(Mechanism::NeedPeak) {
             true => need,
@@ -130,13 +131,13 @@
     }
 
     fn plan_service(&mut self, service: &ServiceName, scaling: &Scaling, need: Need, now: Instant) {
-        let kept = self.kept_need(service, now);
-        let needed = need.engines.max(kept);
+        let inherited = self.inherited_need(service, now);
+        let needed = need.engines.max(inherited);
         let need = Need { engines: needed, ..need };
         self.gateway.board.borrow_mut().capacity.needs.insert(service.clone(), needed);
         let dry = self.orders.is_dry(service, now);
-        for (data_centre, wish, fleet) in self.wishes(service, scaling, need, now) {
-            for (reclaimable, wished, serving) in kinds(wish, fleet) {
+        for (data_centre, wish, fleet) in self.fleet_targets(service, scaling, need, now) {
+            for (reclaimable, wished, serving) in counts_by_kind(wish, fleet) {
                 let (service, data_centre) = (service.clone(), data_centre.clone());
                 let key = OrderKey { service, data_centre, reclaimable };
                 let input = PaceInput {
@@ -145,18 +146,18 @@
                     reclaimable,
                     dry,
                     idle: needed <= 0.0,
-                    load_known: kept <= 0.0,
+                    load_known: inherited <= 0.0,
                     boot: scaling.boot,
                 };
                 if let Some(count) = self.orders.next(&key, &input, now) {
-                    spawn_local(send(self.gateway.clone(), key, count, needed));
+                    spawn_local(send_order(self.gateway.clone(), key, count, needed));
                 }
             }
         }
     }
 
-    /// Returns what is wished for in each data centre, and what is there.
-    fn wishes(
+    /// Returns the wanted and the existing engines of a service in each data centre.
+    fn fleet_targets(
         &self,
         service: &ServiceName,
         scaling: &Scaling,
@@ -170,7 +171,7 @@
         let mut fleets = fleets(board.carrying(service, exposure, now), scaling);
         drop(board);
         self.orders.expect(service, &mut fleets, scaling.boot, now);
-        let floor = self.floor(service, needed_at_start(scaling, policy), now);
+        let floor = self.startup_floor(service, needed_at_start(scaling, policy), now);
         let input = CapacityInput {
             need: Need { engines: need.engines.max(floor), ..need },
             scaling,
@@ -182,8 +183,8 @@
         wishes.map(|(name, wish)| (name.clone(), wish, fleets[&name])).collect()
     }
 
-    /// Takes over what became of an order.
-    pub fn ordered(
+    /// Handles the platform's answer to an order.
+    pub fn order_completed(
         &mut self,
         cx: CX![],
         key: OrderKey,
@@ -197,19 +198,20 @@
         };
         self.orders.answered(&key, count, state);
         if state == OrderState::Refused {
-            // Others take as long to start as the refused ones would have.
+            // Engines ordered instead take as long to boot as the refused ones would have, so the
+            // next order is not delayed further.
             self.plan(cx.now());
         }
     }
 }
 
-/// Returns each kind of engine: whether it is reclaimable, how many are wished
-/// for and how many serve.
-fn kinds(wish: Wish, fleet: Fleet) -> [(bool, u32, u32); 2] {
+/// Returns for each kind of engine whether it is reclaimable, the wanted count and the serving
+/// count.
+fn counts_by_kind(wish: Wish, fleet: Fleet) -> [(bool, u32, u32); 2] {
     [(true, wish.reclaimable, fleet.reclaimable), (false, wish.on_demand, fleet.on_demand)]
 }
 
-async fn send(gateway: Rc<Gateway>, key: OrderKey, count: u32, needed: f64) {
+async fn send_order(gateway: Rc<Gateway>, key: OrderKey, count: u32, needed: f64) {
     let OrderKey { service, data_centre, reclaimable } = key.clone();
     let order = EngineOrder { service, data_centre, reclaimable, count };
     let off = gateway.settings.borrow().off.clone();
@@ -234,7 +236,7 @@
         Err(_) => "failed",
     };
     telemetry::count(&gateway.metrics.orders, label);
-    gateway.tell(|c| call!([c.capacity], ordered(key, count, outcome)));
+    gateway.tell(|c| call!([c.capacity], order_completed(key, count, outcome)));
 }
 
 fn fleets<'a>(
--- a/src/gateway/controllers/configuration.rs
+++ b/src/gateway/controllers/configuration.rs
@@ -1,4 +1,5 @@
-//! Keeps the newest configuration in force; it never goes back to an older one.
+//! Keeps the newest configuration in force. Versions only increase: an older document from the
+//! store or from another gateway is ignored.
 
 use std::rc::Rc;
 
@@ -18,24 +19,24 @@
 }
 
 impl ConfigurationController {
-    /// Starts the controller.
+    /// Creates the controller; no configuration is in force yet.
     pub fn init(_: CX![], gateway: Rc<Gateway>) -> Option<Self> {
         Some(Self { gateway })
     }
 
-    /// Notes up to where the configuration is known, once all documents up to there have
-    /// been taken over.
-    pub fn known(&mut self, _: CX![], knowledge: Knowledge) {
+    /// Records the store position up to which the configuration is known. Sent after all documents
+    /// up to that position.
+    pub fn advance_knowledge(&mut self, _: CX![], knowledge: Knowledge) {
         let mut board = self.gateway.board.borrow_mut();
         board.configuration_knowledge.get_or_insert(knowledge).advance(knowledge);
     }
 
-    /// Takes over a document if it is newer than what is in force.
-    pub fn take(&mut self, _: CX![], document: Bytes, source: Source) {
+    /// Puts a document in force if its version is newer than the current one.
+    pub fn apply(&mut self, _: CX![], document: Bytes, source: Source) {
         let configuration = match decode_configuration(&document) {
             Ok(configuration) => configuration,
             Err(e) => {
-                log::error!("the configuration from the {} is unusable: {e}", source.name());
+                log::error!("rejected invalid configuration from the {}: {e}", source.name());
                 return;
             }
         };
--- a/src/gateway/controllers/directory.rs
+++ b/src/gateway/controllers/directory.rs
@@ -1,10 +1,10 @@
-//! Keeps the list of upstreams.
+//! Maintains the list of upstreams.
 //!
-//! A row that disappears means that the upstream is gone, unless the store was away shortly
-//! before (see `missing_rows`).
+//! An upstream is removed when its row disappears from the store, unless the store was unavailable
+//! shortly before (see `missing_rows`).
 //!
-//! Few processes read the store; the others take over what these tell, and up to where
-//! it is known.
+//! Only a few gateways read the store. The others apply the changes that these announce, together
+//! with the store position up to which the list is then known.
 
 use std::{
     cell::Cell,
@@ -29,29 +29,29 @@
     telemetry::count,
 };
 
-/// Between looks at missing rows and idle connections.
-const PERIOD: Duration = Duration::from_millis(500);
+/// Longest interval between checks of missing rows and idle connections.
+const CHECK_PERIOD: Duration = Duration::from_millis(500);
 
 /// Controller of the list of upstreams.
 #[derive(Debug)]
 pub struct Directory {
     pub(super) gateway: Rc<Gateway>,
     timer: stakker::MaxTimerKey,
-    /// Rows that name no upstream, each with the cause that was logged.
+    /// Rows that could not be decoded, each with the cause last logged.
     rejected: BTreeMap<UpstreamId, &'static str>,
-    /// Whether more is known of missing rows since it was last looked which of them lapsed.
+    /// Whether missing rows have changed since [`Self::mark_lapsed`] last ran.
     pub(super) missing_changed: Cell<bool>,
 }
 
 impl Directory {
-    /// Starts the controller.
+    /// Creates the controller with an empty list and starts its periodic checks.
     pub fn init(cx: CX![], gateway: Rc<Gateway>) -> Option<Self> {
         call!([cx], tick());
         let timer = stakker::MaxTimerKey::default();
         Some(Self { gateway, timer, rejected: BTreeMap::new(), missing_changed: Cell::default() })
     }
 
-    /// Takes over all rows as read from the store.
+    /// Replaces the list with all rows of the store's table.
     pub fn snapshot(&mut self, cx: CX![], snapshot: Snapshot) {
         let upstreams: Vec<Upstream> =
             snapshot.rows.iter().filter_map(|r| self.decode(r)).collect();
@@ -59,51 +59,54 @@
         self.rejected.retain(|id, _| listed.contains(id));
         let position = snapshot.revision;
         let written = snapshot.rows.iter().map(|r| r.revision).max().unwrap_or_default();
-        // A removal has no row, and others would not hear that they lack it.
-        let last_change = if self.names_all_known(&upstreams) { written } else { position };
+        // A removal leaves no row. If an upstream is no longer listed, the last change is taken to
+        // be as new as the snapshot, so that other gateways learn that they lack a change.
+        let last_change = if self.lists_all_known(&upstreams) { written } else { position };
         let knowledge = Knowledge { position, as_of: snapshot.as_of };
         let snapshot =
             UpstreamSnapshot { knowledge, last_change, upstreams, ..UpstreamSnapshot::default() };
         let seen = knowledge.as_of;
         let absent = |id: &UpstreamId, now| self.handle_removal(id, position, seen, now);
         let replaced = self.replace(&snapshot, cx.now(), absent);
-        // These rows are there, so no lapse excuses what they no longer name.
+        // A row that is present but cannot be decoded has not lapsed, so its upstream is removed at
+        // once.
         for id in self.rejected.keys().filter(|_| replaced) {
             self.remove(id, position, cx.now());
         }
     }
 
-    fn names_all_known(&self, upstreams: &[Upstream]) -> bool {
-        let named: BTreeSet<&UpstreamId> = upstreams.iter().map(|u| &u.id).collect();
-        self.gateway.board.borrow().upstreams.keys().all(|id| named.contains(id))
+    fn lists_all_known(&self, upstreams: &[Upstream]) -> bool {
+        let listed: BTreeSet<&UpstreamId> = upstreams.iter().map(|u| &u.id).collect();
+        self.gateway.board.borrow().upstreams.keys().all(|id| listed.contains(id))
     }
 
-    /// Takes over the upstreams as another gateway knows them, or what has changed among
-    /// them. What is gone there is gone: that gateway has waited for rows that may come back.
+    /// Applies the list of another gateway, or its changes since a revision. An upstream that is
+    /// absent there is removed at once: that gateway already waited for rows that may come back.
     pub fn copy(&mut self, cx: CX![], snapshot: UpstreamSnapshot) {
         if snapshot.after > 0 {
-            self.take_changes(snapshot, cx.now());
+            self.apply_change_set(snapshot, cx.now());
             return;
         }
         let position = snapshot.knowledge.position;
         self.replace(&snapshot, cx.now(), |id, now| self.remove(id, position, now));
     }
 
-    fn take_changes(&self, snapshot: UpstreamSnapshot, now: Instant) {
+    fn apply_change_set(&self, snapshot: UpstreamSnapshot, now: Instant) {
         let position = snapshot.knowledge.position;
         let known = self.gateway.board.borrow().upstreams_position();
         if snapshot.after > known || position < known {
             return;
         }
-        self.take_upstreams(&snapshot, now);
+        self.apply_listed(&snapshot, now);
         snapshot.gone.iter().for_each(|id| self.remove(id, position, now));
-        // There may be more of them than are told to others, and not in their order.
+        // The set may hold more changes than heartbeats pass on, and it is not in order of
+        // revision.
         self.gateway.board.borrow_mut().recent_changes.reset(snapshot.knowledge);
         self.advance(snapshot.knowledge, snapshot.last_change);
     }
 
-    /// Takes over changes that another gateway told, if none are lacking
-    /// before them. Without any, what is known is still as new as it is there.
+    /// Applies recent changes from another gateway's heartbeat, unless earlier changes are missing
+    /// here. Even without changes, the list is then known up to the sender's position.
     pub fn follow(&mut self, cx: CX![], recent: RecentChanges) {
         let now = cx.now();
         let knowledge = self.gateway.board.borrow().upstreams_knowledge;
@@ -127,7 +130,8 @@
         self.advance(recent.knowledge, last_change);
     }
 
-    /// Takes over a snapshot; returns whether it is as new as what is known.
+    /// Replaces the list with a snapshot and calls `absent` for each known upstream that it lacks;
+    /// returns false, and changes nothing, if the snapshot is older than the list.
     fn replace(
         &self,
         snapshot: &UpstreamSnapshot,
@@ -139,14 +143,14 @@
             return false;
         }
         let listed: BTreeSet<&UpstreamId> = snapshot.upstreams.iter().map(|u| &u.id).collect();
-        self.take_upstreams(snapshot, now);
+        self.apply_listed(snapshot, now);
         let known: Vec<UpstreamId> =
             self.gateway.board.borrow().upstreams.keys().cloned().collect();
         for id in known.iter().filter(|id| !listed.contains(id)) {
             absent(id, now);
         }
         let mut board = self.gateway.board.borrow_mut();
-        // What came and went meanwhile is not known here.
+        // Removals between the earlier position and the snapshot are not known individually.
         board.removals.reset(position);
         board.recent_changes.reset(snapshot.knowledge);
         drop(board);
@@ -154,7 +158,7 @@
         true
     }
 
-    fn take_upstreams(&self, snapshot: &UpstreamSnapshot, now: Instant) {
+    fn apply_listed(&self, snapshot: &UpstreamSnapshot, now: Instant) {
         let position = snapshot.knowledge.position;
         let missing: BTreeMap<&UpstreamId, Removal> =
             snapshot.missing.iter().map(|(id, removal)| (id, *removal)).collect();
@@ -166,8 +170,7 @@
         }
     }
 
-    /// Takes over changes from the store's feed. Those that another gateway told earlier
-    /// are passed over.
+    /// Applies changes from the store's feed, except those already received from another gateway.
     pub fn changes(&mut self, cx: CX![], feed: Feed) {
         let now = cx.now();
         let known = self.gateway.board.borrow().upstreams_position();
@@ -178,7 +181,7 @@
                     last_change = last_change.max(row.revision);
                     match self.decode(&row) {
                         Some(upstream) => self.update(upstream, row.revision, now),
-                        // Whoever wrote it, no upstream is named there any more.
+                        // The row no longer describes an upstream.
                         None => self.remove(&row.key, row.revision, now),
                     }
                 }
@@ -198,7 +201,7 @@
         let now = cx.now();
         self.drop_missing(now);
         let expiry = self.gateway.board.borrow().next_missing_expiry();
-        let next = expiry.map_or(now + PERIOD, |at| at.min(now + PERIOD));
+        let next = expiry.map_or(now + CHECK_PERIOD, |at| at.min(now + CHECK_PERIOD));
         timer_max!(&mut self.timer, next, [cx], tick());
         let mut board = self.gateway.board.borrow_mut();
         board.forget_lifetimes(now);
@@ -214,7 +217,7 @@
         self.gateway.metrics.connections.set(self.gateway.pool.open() as i64);
     }
 
-    /// Decodes a row. A row that names no upstream is told once for each reason.
+    /// Decodes a row. A row that does not describe an upstream is logged once per cause.
     fn decode(&mut self, row: &StoreRow) -> Option<Upstream> {
         let error = match decode_upstream(row.key.clone(), &row.value) {
             Ok(upstream) => {
@@ -237,7 +240,8 @@
     }
 
     fn update(&self, upstream: Upstream, revision: Revision, now: Instant) {
-        // Rows that were missing together tell whether they lapsed, so before one is back.
+        // Whether rows have lapsed is judged by how many are missing together, so they are judged
+        // before one of them returns.
         self.mark_lapsed();
         self.describe(upstream, revision, now);
     }
@@ -261,7 +265,7 @@
 
     pub(super) fn remove(&self, id: &UpstreamId, revision: Revision, now: Instant) {
         let mut board = self.gateway.board.borrow_mut();
-        // Others may know it that ask what has changed.
+        // Recorded even if it is unknown here: gateways that ask for changes may still list it.
         board.removals.note(revision, id.clone());
         let Some(view) = board.upstreams.remove(id) else {
             return;
--- a/src/gateway/controllers/duties.rs
+++ b/src/gateway/controllers/duties.rs
@@ -1,7 +1,8 @@
 //! The lease on the duties, and the usage reports that its holder sends.
 //!
-//! One lease covers all duties. The holder renews its row; the others hear of
-//! it by heartbeat and read the row only when the holder falls silent.
+//! Duties are the tasks that only one gateway may perform at a time; one lease covers all of them.
+//! The holder renews the lease's row in the store. The others learn of the holder from heartbeats,
+//! and read the row only when they no longer receive any from it.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,8 +14,8 @@
 use tokio::task::spawn_local;
 
 use super::{
-    kept::{KEEP_EVERY, keep, kept_row},
-    usage_report::report,
+    kept::{PERSIST_PERIOD, persist, state_row},
+    usage_report::send_usage_report,
 };
 use crate::{
     control::{HeardClaim, Lease, LeaseAction, LeaseRow, LeaseTiming},
@@ -31,33 +32,32 @@
 
 /// Key of the lease's row.
 pub(super) const LEASE_KEY: &str = "lease";
-/// How much longer the lease holds than the time in which two holders may not
-/// act in turns.
+/// How much the lease exceeds the configured bound, the time within which two holders may not
+/// act alternately.
 const TTL_BEYOND_BOUND: Duration = Duration::from_millis(200);
-/// Last part of the lease in which nothing is sent, so that what is sent
-/// arrives while it holds.
+/// Last part of the lease in which no call is made under it, so that calls arrive before it ends.
 const LEASE_MARGIN: Duration = Duration::from_millis(700);
-/// Between renewals: two may fail before the lease is of no use.
-const RENEW_EVERY: Duration = Duration::from_millis(800);
-/// Between looks at the lease and the reports.
-const PERIOD: Duration = Duration::from_millis(200);
-/// Age of the last renewal at which a holder gives the lease up, if the store
-/// answers others: two renewals have failed.
+/// Interval between renewals: two can fail before the holder must stop acting.
+const RENEW_PERIOD: Duration = Duration::from_millis(800);
+/// Interval between checks of the lease and the reports.
+const CHECK_PERIOD: Duration = Duration::from_millis(200);
+/// Age of the last renewal at which a holder gives up the lease if the store answers other
+/// gateways: two renewals have failed by then.
 const GIVE_UP_AFTER: Duration = Duration::from_millis(1_600);
-/// Silence of a holder before the row is read, and what is added for each
-/// process that comes first in order.
+/// Time without heartbeats of the holder after which the first process reads the row.
 const SUSPECT_AFTER: Duration = Duration::from_millis(700);
-/// See [`SUSPECT_AFTER`].
+/// Added to [`SUSPECT_AFTER`] for each process that precedes this one, so that they do not all read
+/// the row at once.
 const SUSPECT_STEP: Duration = Duration::from_millis(150);
-/// Time after the end of a window at which its counts are final: processes
-/// tell theirs several times a second, and some are cut off for a while.
-const SETTLE: Duration = Duration::from_millis(3_500);
-/// Pause before a report that failed is sent again.
-const AGAIN: Duration = Duration::from_millis(700);
+/// Time after the end of a window at which its counts are final: processes send theirs several
+/// times a second, but some may be partitioned for a while.
+const SETTLE_TIME: Duration = Duration::from_millis(3_500);
+/// Pause before a failed report is retried.
+const REPORT_RETRY_PAUSE: Duration = Duration::from_millis(700);
 
-/// What became of a report.
+/// State of the report of one window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Report {
+enum ReportState {
     Sending,
     Failed(Instant),
     Done,
@@ -70,17 +70,21 @@
     timer: stakker::MaxTimerKey,
     lease: Lease,
     timing: LeaseTiming,
-    busy: bool,
-    renewed: Option<Instant>,
-    holder_heard: Instant,
-    reports: BTreeMap<Window, Report>,
-    kept: Option<Instant>,
-    /// When it took the lease over.
+    /// Whether a call to the lease's row is in flight.
+    call_in_flight: bool,
+    /// When the last successful renewal was sent.
+    last_renewal: Option<Instant>,
+    /// When another process was last known to hold the lease.
+    holder_last_heard: Instant,
+    reports: BTreeMap<Window, ReportState>,
+    /// When state for later processes was last persisted.
+    last_persisted: Option<Instant>,
+    /// When this process acquired the lease; before that, when it started.
     acquired: Instant,
 }
 
 impl Duties {
-    /// Starts the controller.
+    /// Creates the controller and starts its periodic checks.
     pub fn init(cx: CX![], gateway: Rc<Gateway>) -> Option<Self> {
         call!([cx], tick());
         let bound = gateway.settings.borrow().bounds.lease;
@@ -92,45 +96,45 @@
             timer: stakker::MaxTimerKey::default(),
             lease,
             timing,
-            busy: false,
-            renewed: None,
-            holder_heard: cx.now(),
+            call_in_flight: false,
+            last_renewal: None,
+            holder_last_heard: cx.now(),
             reports: BTreeMap::new(),
-            kept: None,
+            last_persisted: None,
             acquired: cx.now(),
         })
     }
 
     fn tick(&mut self, cx: CX![]) {
         let now = cx.now();
-        timer_max!(&mut self.timer, now + PERIOD, [cx], tick());
+        timer_max!(&mut self.timer, now + CHECK_PERIOD, [cx], tick());
         let window = self.window(now);
         self.gateway.board.borrow_mut().usage.open(&self.gateway.process, window);
-        self.keep_lease(now);
+        self.check_lease(now);
         if self.gateway.board.borrow().lease.may_act(now).is_some() {
-            if self.has_heard_counts(now) {
+            if self.has_received_counts(now) {
                 self.send_reports(now);
             }
-            self.keep(now);
+            self.persist_if_due(now);
         }
     }
 
-    /// Returns whether the others have had time to tell this process their counts since it
-    /// holds the lease.
-    fn has_heard_counts(&self, now: Instant) -> bool {
+    /// Returns whether the other processes have had time to send their usage counts since this one
+    /// acquired the lease.
+    fn has_received_counts(&self, now: Instant) -> bool {
         let processes = 1 + self.gateway.board.borrow().peers.len();
         let wait = wait_after_takeover(processes, HEARD_A_PERIOD, HEARTBEAT_PERIOD);
         now.saturating_duration_since(self.acquired) >= wait
     }
 
-    /// Keeps quotas and usage in the store now and then, once there was load.
-    fn keep(&mut self, now: Instant) {
+    /// Persists quotas and usage every [`PERSIST_PERIOD`], once there has been load.
+    fn persist_if_due(&mut self, now: Instant) {
         if !self.gateway.board.borrow().has_had_load() {
             return;
         }
-        if self.kept.is_none_or(|t| now.saturating_duration_since(t) >= KEEP_EVERY) {
-            self.kept = Some(now);
-            spawn_local(keep(self.gateway.clone()));
+        if self.last_persisted.is_none_or(|t| now.saturating_duration_since(t) >= PERSIST_PERIOD) {
+            self.last_persisted = Some(now);
+            spawn_local(persist(self.gateway.clone()));
         }
     }
 
@@ -139,13 +143,13 @@
         self.gateway.board.borrow().clock.unix_millis(now) / length.as_millis().max(1) as u64
     }
 
-    fn keep_lease(&mut self, now: Instant) {
-        // Also while a call waits: a store that is silent answers none.
+    fn check_lease(&mut self, now: Instant) {
+        // Also while a call is in flight: a store that is unavailable never answers it.
         if self.should_give_up(now) {
             self.give_up();
             return;
         }
-        if self.busy {
+        if self.call_in_flight {
             return;
         }
         let held = self.gateway.board.borrow().lease.may_act(now).is_some();
@@ -154,13 +158,13 @@
             return;
         }
         if held {
-            if self.renewed.is_none_or(|t| now.saturating_duration_since(t) >= RENEW_EVERY) {
+            if self.last_renewal.is_none_or(|t| now.saturating_duration_since(t) >= RENEW_PERIOD) {
                 self.write_lease(now);
             }
             return;
         }
         let leaving = self.gateway.shutdown.phase() > Phase::Serving;
-        if leaving || self.acted_of_late(now) || self.holder_is_heard(now) {
+        if leaving || self.held_recently(now) || self.hears_holder(now) {
             return;
         }
         if !self.lease.is_inherited() && !self.suspects_holder(now) {
@@ -172,10 +176,9 @@
         }
     }
 
-    /// Returns whether the lease is of more use to another process: the store
-    /// answers others and not this one, or it has lapsed here. A store that is
-    /// silent is not known to be away until a call has timed out, so the age of
-    /// the renewal decides.
+    /// Returns whether this process must leave the lease to another: its lease has expired, or the
+    /// store answers other processes but not this one. A store that does not answer counts as
+    /// unavailable only after a call has timed out, so the age of the last renewal decides.
     fn should_give_up(&self, now: Instant) -> bool {
         let board = self.gateway.board.borrow();
         let Some(own) = board.lease.own.filter(|own| !own.given_up) else {
@@ -197,33 +200,33 @@
         self.gateway.tell(|c| call!([c.peers], tell_now()));
     }
 
-    /// Returns whether this process acted so late that it must leave the lease
-    /// to others: two holders may not act in turns.
-    fn acted_of_late(&self, now: Instant) -> bool {
+    /// Returns whether this process gave up the lease so recently that it must leave it to the
+    /// other processes that it hears: two holders may not act alternately.
+    fn held_recently(&self, now: Instant) -> bool {
         let own = self.gateway.board.borrow().lease.own;
         let others = self.gateway.board.borrow().heard(now).next().is_some();
         others && own.is_some_and(|own| own.given_up && now < own.until + self.timing.ttl)
     }
 
-    /// Takes over what another process says of its lease.
-    pub fn claimed(&mut self, _: CX![], claim: HeardClaim) {
+    /// Records the claim to the lease from another process's heartbeat.
+    pub fn claim_received(&mut self, _: CX![], claim: HeardClaim) {
         self.lease.hear(claim);
     }
 
-    /// Returns whether another process holds the lease, as heard of late.
-    fn holder_is_heard(&mut self, now: Instant) -> bool {
+    /// Returns whether recent heartbeats show that another process holds the lease.
+    fn hears_holder(&mut self, now: Instant) -> bool {
         let heard = self.gateway.board.borrow().heard(now).any(|p| p.last.holds_lease());
         if heard {
-            self.holder_heard = now;
-            // What was seen of the row is of no use for the next holder.
+            self.holder_last_heard = now;
+            // An observation of the row says nothing about the holder that follows this one.
             self.lease.observe(0, None, now);
         }
         heard
     }
 
-    /// Returns whether the holder has been silent for too long, or has given
-    /// up. The processes that the store answers suspect one after another, so
-    /// that one alone reads the row.
+    /// Returns whether no heartbeat of the holder has arrived for too long, or the holder has given
+    /// up the lease. The wait is staggered over the processes that the store answers, so that
+    /// usually only one of them reads the row.
     fn suspects_holder(&self, now: Instant) -> bool {
         let board = self.gateway.board.borrow();
         let own = &self.gateway.process;
@@ -231,16 +234,16 @@
         let given_up = board.heard(now).any(|p| p.last.lease.is_some_and(|c| c.given_up));
         let silence = if given_up { Duration::ZERO } else { SUSPECT_AFTER };
         let wait = silence + SUSPECT_STEP * before.count() as u32;
-        now.saturating_duration_since(self.holder_heard) >= wait
+        now.saturating_duration_since(self.holder_last_heard) >= wait
     }
 
-    /// Takes over the lease's row as it was when this process started.
-    pub fn recalled(&mut self, cx: CX![], row: StoreRow) {
+    /// Records the lease's row as read when this process started.
+    pub fn row_restored(&mut self, cx: CX![], row: StoreRow) {
         self.observe(&row, cx.now());
     }
 
     fn read_lease(&mut self) {
-        self.busy = true;
+        self.call_in_flight = true;
         let gateway = self.gateway.clone();
         spawn_local(async move {
             let read = gateway.store.snapshot(Table::Duties).await;
@@ -254,16 +257,17 @@
         });
     }
 
-    /// Takes over the lease's row as read.
+    /// Handles the answer to a read of the lease's row: records the row and checks the lease again,
+    /// or writes the first row if there is none.
     pub fn lease_read(&mut self, cx: CX![], read: Result<Option<StoreRow>, PlatformError>) {
-        self.busy = false;
+        self.call_in_flight = false;
         let Ok(row) = read else {
             return;
         };
         match row {
             Some(row) => {
                 self.observe(&row, cx.now());
-                self.keep_lease(cx.now());
+                self.check_lease(cx.now());
             }
             None => self.write_lease(cx.now()),
         }
@@ -272,7 +276,7 @@
     fn observe(&mut self, row: &StoreRow, now: Instant) {
         match serde_json::from_slice::<LeaseRow>(&row.value) {
             Ok(lease) => self.lease.observe(row.revision, Some(lease), now),
-            Err(e) => log::error!("the row of the lease is unreadable: {e}"),
+            Err(e) => log::error!("the row of the lease cannot be decoded: {e}"),
         }
     }
 
@@ -280,15 +284,15 @@
         let LeaseAction::Write { row_version, row } = self.lease.next_action(now) else {
             return;
         };
-        self.busy = true;
+        self.call_in_flight = true;
         let gateway = self.gateway.clone();
         let sent = now;
         let mut writes = vec![lease_write(&row, row_version)];
-        // What is kept goes along with a renewal, which saves every fourth call. A new
-        // holder may know less than the row holds.
+        // A renewal also writes the persisted state, which saves every fourth call. An acquisition
+        // does not: a new holder may know less than that row contains.
         if self.gateway.board.borrow().lease.may_act(now).is_some() {
-            writes.extend(kept_row(&gateway));
-            self.kept = Some(now);
+            writes.extend(state_row(&gateway));
+            self.last_persisted = Some(now);
         }
         spawn_local(async move {
             let outcome = gateway.store.write(&writes).await;
@@ -301,9 +305,9 @@
         });
     }
 
-    /// Gives the lease back, so that another process can take it at once. This
-    /// one stays longer than the time in which two holders may not act in
-    /// turns, so that it cannot come back too early.
+    /// Releases the lease, so that another process can acquire it at once. This process then runs
+    /// for longer than the time within which two holders may not act alternately, so that its
+    /// successor on this host cannot acquire the lease too early.
     fn release(&mut self) {
         self.gateway.board.borrow_mut().lease.give_up();
         self.gateway.metrics.lease.set(0);
@@ -313,16 +317,16 @@
         self.gateway.log(&Event::Lease { fence: row.fence, state: "given_back" });
         let gateway = self.gateway.clone();
         spawn_local(async move {
-            keep(gateway.clone()).await;
+            persist(gateway.clone()).await;
             let written = gateway.store.write(&[lease_write(&row, row_version)]).await;
             gateway.note_store(written.as_ref().err());
             if let Err(e) = written {
-                log::warn!("the lease was not given back and will lapse: {e}");
+                log::warn!("the lease was not released and will expire: {e}");
             }
         });
     }
 
-    /// Takes over what became of a write of the lease's row.
+    /// Handles the outcome of a write of the lease's row.
     pub fn lease_written(
         &mut self,
         cx: CX![],
@@ -330,28 +334,28 @@
         sent: Instant,
         outcome: Result<WriteOutcome, PlatformError>,
     ) {
-        self.busy = false;
+        self.call_in_flight = false;
         match outcome {
-            Ok(WriteOutcome::Done(revision)) => self.held(revision, row, sent, cx.now()),
+            Ok(WriteOutcome::Done(revision)) => self.lease_confirmed(revision, row, sent, cx.now()),
             Ok(WriteOutcome::Conflict(rows)) => match rows.iter().find(|r| r.key == LEASE_KEY) {
                 Some(row) => self.observe(row, cx.now()),
                 None => self.read_lease(),
             },
-            // It may have been done: only the row itself can tell.
+            // The write may have been applied; only a read of the row can tell.
             Err(PlatformError::Http(_) | PlatformError::Timeout) => self.read_lease(),
-            Err(e) => log::debug!("the lease was not written: {e}"),
+            Err(e) => log::debug!("writing the row of the lease failed: {e}"),
         }
     }
 
-    fn held(&mut self, revision: u64, row: LeaseRow, sent: Instant, now: Instant) {
+    fn lease_confirmed(&mut self, revision: u64, row: LeaseRow, sent: Instant, now: Instant) {
         let (fence, renewal) = (row.fence, row.renewal);
-        self.renewed = Some(sent);
+        self.last_renewal = Some(sent);
         self.lease.written(revision, row, sent, now);
         let until = sent + self.timing.ttl.saturating_sub(self.timing.margin);
         let mut board = self.gateway.board.borrow_mut();
         let before = board.lease.own;
         if before.is_some_and(|own| own.fence == fence && own.given_up) {
-            // The others were told that nothing follows under this number.
+            // The others were told that this process no longer acts under this fencing token.
             drop(board);
             self.lease.give_up();
             return;
@@ -365,42 +369,44 @@
         }
     }
 
-    /// Sends the reports of windows that have settled.
+    /// Sends the usage reports of all windows whose counts are final, and retries failed ones.
     fn send_reports(&mut self, now: Instant) {
         let length = self.gateway.settings.borrow().bounds.usage_window;
         let time = self.gateway.board.borrow().clock.unix_millis(now);
-        let settled =
-            time.saturating_sub(SETTLE.as_millis() as u64) / length.as_millis().max(1) as u64;
-        let windows = self.gateway.board.borrow().usage.counted_before(settled);
+        let final_before =
+            time.saturating_sub(SETTLE_TIME.as_millis() as u64) / length.as_millis().max(1) as u64;
+        let windows = self.gateway.board.borrow().usage.counted_before(final_before);
         let known: BTreeSet<Window> = windows.iter().copied().collect();
         self.reports.retain(|w, _| known.contains(w));
         for window in windows {
             let due = match self.reports.get(&window) {
                 None => true,
-                Some(Report::Failed(at)) => now.saturating_duration_since(*at) >= AGAIN,
-                Some(Report::Sending | Report::Done) => false,
+                Some(ReportState::Failed(at)) => {
+                    now.saturating_duration_since(*at) >= REPORT_RETRY_PAUSE
+                }
+                Some(ReportState::Sending | ReportState::Done) => false,
             };
             if due {
-                self.reports.insert(window, Report::Sending);
+                self.reports.insert(window, ReportState::Sending);
                 let counts = self.gateway.board.borrow().usage.total(window);
-                spawn_local(report(self.gateway.clone(), window, counts));
+                spawn_local(send_usage_report(self.gateway.clone(), window, counts));
             }
         }
     }
 
-    /// Takes over what became of a report.
-    pub fn reported(&mut self, cx: CX![], window: Window, done: bool) {
-        let state = if done { Report::Done } else { Report::Failed(cx.now()) };
+    /// Records whether a report was delivered.
+    pub fn report_completed(&mut self, cx: CX![], window: Window, done: bool) {
+        let state = if done { ReportState::Done } else { ReportState::Failed(cx.now()) };
         self.reports.insert(window, state);
     }
 }
 
-/// Returns the write of the lease's row, if it is still at `row_version`.
+/// Returns the write of the lease's row, conditional on its version being `row_version`.
 fn lease_write(row: &LeaseRow, row_version: u64) -> RowWrite {
     RowWrite {
         table: Table::Duties,
         key: LEASE_KEY.to_owned(),
-        value: serde_json::to_vec(row).expect("texts and numbers always encode"),
+        value: serde_json::to_vec(row).expect("strings and integers always encode as JSON"),
         expected: Some(row_version),
     }
 }
--- a/src/gateway/controllers/leaving.rs
+++ b/src/gateway/controllers/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! Leaving on the stop signal, without cutting off a request.
+//! Graceful shutdown on a stop signal: requests in progress are completed first.
 
 use std::{
     rc::Rc,
@@ -9,32 +9,33 @@
 
 use crate::gateway::{context::Gateway, net::Phase, telemetry::Event};
 
-/// For how long callers that still hold the address are served: they keep an
-/// answer for some seconds.
-const SERVE_ON: Duration = Duration::from_millis(2_800);
-/// For how long new requests are then refused before idle connections close.
-const REFUSE: Duration = Duration::from_millis(1_200);
-/// Time before the kill at which the process ends by itself.
-const MARGIN: Duration = Duration::from_millis(250);
-/// Between looks at what is in progress.
-const PERIOD: Duration = Duration::from_millis(100);
+/// How long new requests are still served once shutdown begins: callers cache gateway addresses for
+/// some seconds.
+const SERVE_TIME: Duration = Duration::from_millis(2_800);
+/// How long new requests are then refused before idle connections are closed.
+const REFUSE_TIME: Duration = Duration::from_millis(1_200);
+/// How long before the end of the grace period the process exits by itself; the platform kills it
+/// at the end.
+const KILL_MARGIN: Duration = Duration::from_millis(250);
+/// Interval between checks of the requests in progress.
+const CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// Controller of leaving.
+/// Controller of the process's shutdown.
 #[derive(Debug)]
-pub struct Leaving {
+pub struct GracefulShutdown {
     gateway: Rc<Gateway>,
     timer: stakker::MaxTimerKey,
     began: Option<Instant>,
 }
 
-impl Leaving {
-    /// Starts the controller.
+impl GracefulShutdown {
+    /// Creates the controller; it is idle until [`Self::begin`].
     pub fn init(_: CX![], gateway: Rc<Gateway>) -> Option<Self> {
         Some(Self { gateway, timer: stakker::MaxTimerKey::default(), began: None })
     }
 
-    /// Begins to leave.
-    pub fn leave(&mut self, cx: CX![]) {
+    /// Begins the shutdown; further calls have no effect.
+    pub fn begin(&mut self, cx: CX![]) {
         if self.began.is_some() {
             return;
         }
@@ -49,17 +50,17 @@
         let Some(began) = self.began else {
             return;
         };
-        timer_max!(&mut self.timer, now + PERIOD, [cx], tick());
+        timer_max!(&mut self.timer, now + CHECK_PERIOD, [cx], tick());
         let since = now.saturating_duration_since(began);
-        if since >= SERVE_ON + REFUSE {
+        if since >= SERVE_TIME + REFUSE_TIME {
             self.enter(Phase::Closing);
-        } else if since >= SERVE_ON {
+        } else if since >= SERVE_TIME {
             self.enter(Phase::Refusing);
         }
         let grace = self.gateway.settings.borrow().bounds.grace;
         let idle = self.gateway.board.borrow().in_progress == 0;
         let done = idle && self.gateway.shutdown.phase() == Phase::Closing;
-        if done || since >= grace.saturating_sub(MARGIN) {
+        if done || since >= grace.saturating_sub(KILL_MARGIN) {
             cx.shutdown(StopCause::Stopped);
         }
     }
--- a/src/gateway/controllers/telling.rs
+++ b/src/gateway/controllers/heartbeat_sender.rs
@@ -1,4 +1,5 @@
-//! What this process tells the other gateways, and whom.
+//! Sends this process's heartbeats, with those of other gateways relayed along, to some gateways at
+//! a time.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -23,156 +24,160 @@
     ids::DataCentre,
 };
 
-/// Number below which the first heartbeat of a process gets its number.
-const FIRST_BEAT_BELOW: u32 = 1 << 16;
-/// Every how many heartbeats addresses that are silent are tried.
-const SILENT_EVERY: u32 = 10;
-/// Heartbeats that a process sends to every address it knows when it starts:
-/// quotas wait until the others are heard, and a datagram may be lost.
-const FIRST_BEATS: u32 = 4;
-/// Gateways that get each of the first heartbeats: more would hold up whatever else
-/// leaves a slow link at the start.
-const FIRST_FAN_OUT: usize = 48;
-/// Every how many heartbeats usage is told to those that do not report it.
-const USAGE_EVERY: u32 = 4;
-/// For how long changes of upstreams are told: until each gateway has heard
-/// them from several others.
-const CHANGES_TOLD: Duration = Duration::from_millis(2_500);
-/// Windows of usage that are told: reports are due two windows after the end.
+/// Upper bound of the random number of a process's first heartbeat.
+const MAX_FIRST_NUMBER: u32 = 1 << 16;
+/// One in this many heartbeats also goes to some known addresses from which no heartbeats arrive.
+const SILENT_INTERVAL: u32 = 10;
+/// Number of heartbeats that a starting process sends to addresses drawn from all that it knows,
+/// rather than to the usual recipients. Quotas wait until the others are heard, and datagrams may
+/// be lost.
+const STARTUP_HEARTBEATS: u32 = 4;
+/// Most recipients of each of these heartbeats: more would delay other traffic on a slow link
+/// during startup.
+const STARTUP_FAN_OUT: usize = 48;
+/// One in this many heartbeats carries usage counts to gateways that do not hold the lease.
+const USAGE_INTERVAL: u32 = 4;
+/// How long heartbeats carry a change of upstreams: until each gateway has received it from several
+/// others.
+const CHANGE_RETENTION: Duration = Duration::from_millis(2_500);
+/// Most usage windows in a heartbeat: reports are due two windows after the end of a window.
 const USAGE_WINDOWS: usize = 4;
 
-/// Whom a heartbeat goes to.
+/// Recipients of one heartbeat.
 #[derive(Debug, Default)]
-struct Addressed {
-    /// In this data centre.
+struct Recipients {
+    /// Gateways in this data centre.
     near: Vec<SocketAddr>,
-    /// In the others.
+    /// Gateways in other data centres.
     far: Vec<SocketAddr>,
-    /// The holder of the lease, if it is due a report.
+    /// The holder of the lease, if a usage report to it is due.
     holder: Option<SocketAddr>,
-    /// Whether there are gateways that this heartbeat does not go to.
-    some_left_out: bool,
+    /// Whether some gateways that are heard do not receive this heartbeat directly.
+    is_partial: bool,
 }
 
-/// Sends heartbeats.
+/// Composes heartbeats and chooses their recipients.
 #[derive(Debug)]
-pub(super) struct Teller {
+pub(super) struct HeartbeatSender {
     gateway: Rc<Gateway>,
     socket: Rc<UdpSocket>,
     addresses: BTreeSet<SocketAddr>,
-    beats: u32,
-    first_beats: u32,
-    /// Shared prefixes by heartbeat, the newest first.
-    prefixes: VecDeque<Vec<PrefixReport>>,
+    /// Number of the last heartbeat; wraps.
+    number: u32,
+    /// How many of the [`STARTUP_HEARTBEATS`] are left.
+    startup_left: u32,
+    /// Shared prefixes first reported in each of the last heartbeats, newest first.
+    recent_prefixes: VecDeque<Vec<PrefixReport>>,
 }
 
-impl Teller {
+impl HeartbeatSender {
     pub(super) fn new(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) -> Self {
         let settings = gateway.settings.borrow();
         let port = settings.listen.heartbeats.port();
         let seeds = settings.seeds.iter().map(|ip| SocketAddr::new(*ip, port));
         let addresses = seeds.filter(|a| *a != settings.listen.heartbeats).collect();
         drop(settings);
-        // Processes that start together do not turn to the same data centre together.
-        let beats = fastrand::u32(..FIRST_BEAT_BELOW);
-        let (first_beats, prefixes) = (FIRST_BEATS, VecDeque::new());
-        Self { gateway, socket, addresses, beats, first_beats, prefixes }
+        // Random, so that processes that start together rotate through the data centres in
+        // different phases.
+        let number = fastrand::u32(..MAX_FIRST_NUMBER);
+        let (startup_left, recent_prefixes) = (STARTUP_HEARTBEATS, VecDeque::new());
+        Self { gateway, socket, addresses, number, startup_left, recent_prefixes }
     }
 
-    /// Takes over addresses that were found in the store, all of which are to be told of
-    /// this process.
-    pub(super) fn found(&mut self, addresses: Vec<SocketAddr>) {
+    /// Adds the addresses of registered gateways, and starts the [`STARTUP_HEARTBEATS`] again so
+    /// that these gateways learn of this process.
+    pub(super) fn add_members(&mut self, addresses: Vec<SocketAddr>) {
         let own = self.gateway.settings.borrow().listen.heartbeats;
         self.addresses.extend(addresses.into_iter().filter(|a| *a != own));
-        self.first_beats = FIRST_BEATS;
+        self.startup_left = STARTUP_HEARTBEATS;
     }
 
-    /// Notes an address of another gateway.
-    pub(super) fn knows(&mut self, address: SocketAddr) {
+    /// Adds the address of a gateway from which a heartbeat came.
+    pub(super) fn add_address(&mut self, address: SocketAddr) {
         self.addresses.insert(address);
     }
 
-    /// Answers a process that is new, which waits to hear the others. One that
-    /// has just started itself tells everybody anyway.
-    pub(super) fn greet(&self, to: SocketAddr, now: Instant) {
-        if self.first_beats == 0 {
+    /// Replies to the first heartbeat of a new process, which waits for heartbeats of the others.
+    /// Skipped while this process is starting too: it then sends to everybody anyway.
+    pub(super) fn reply_to_new(&self, to: SocketAddr, now: Instant) {
+        if self.startup_left == 0 {
             self.send_to(&self.compose(now), &[to], &[], 0);
         }
     }
 
-    /// Tells the others.
+    /// Sends the next heartbeat.
     pub(super) fn send(&mut self, now: Instant) {
-        self.beats = self.beats.wrapping_add(1);
-        self.first_beats = self.first_beats.saturating_sub(1);
+        self.number = self.number.wrapping_add(1);
+        self.startup_left = self.startup_left.saturating_sub(1);
         let mut heartbeat = self.compose(now);
-        // The holder of the lease sums usage up; the others get it now and then, since
-        // one of them may be the next holder.
+        // The holder of the lease adds up usage. The others receive it less often, since one of
+        // them may be the next holder.
         let processes = 1 + self.gateway.board.borrow().peers.len();
-        heartbeat.prefixes = self.prefixes(processes);
-        let reports = self.beats.is_multiple_of(beats_a_report(processes, HEARD_A_PERIOD));
-        let addressed = self.receivers(reports, now);
-        if self.beats.is_multiple_of(USAGE_EVERY) {
+        heartbeat.prefixes = self.prefix_reports(processes);
+        let reports_usage = self.number.is_multiple_of(beats_a_report(processes, HEARD_A_PERIOD));
+        let recipients = self.recipients(reports_usage, now);
+        if self.number.is_multiple_of(USAGE_INTERVAL) {
             heartbeat.usage = self.usage();
         }
-        let (near, all) = match addressed.some_left_out {
-            true => self.to_pass_on(now),
+        let (near, all) = match recipients.is_partial {
+            true => self.relayed_heartbeats(now),
             false => Default::default(),
         };
-        self.send_to(&heartbeat, &addressed.near, &all, NEAR_BYTES);
-        self.send_to(&heartbeat, &addressed.far, &near, FAR_BYTES);
-        if let Some(holder) = addressed.holder {
+        self.send_to(&heartbeat, &recipients.near, &all, NEAR_BYTES);
+        self.send_to(&heartbeat, &recipients.far, &near, FAR_BYTES);
+        if let Some(holder) = recipients.holder {
             heartbeat.usage = self.usage();
             self.send_to(&heartbeat, &[holder], &[], 0);
         }
     }
 
-    /// Returns the shared prefixes that were sent of late: each is told for so many heartbeats
-    /// that most of the processes hear of it.
-    fn prefixes(&mut self, processes: usize) -> Vec<PrefixReport> {
+    /// Returns the shared prefixes of recent requests. Each is repeated in enough heartbeats to
+    /// reach most processes.
+    fn prefix_reports(&mut self, processes: usize) -> Vec<PrefixReport> {
         let newest = std::mem::take(&mut self.gateway.board.borrow_mut().sent_prefixes);
-        self.prefixes.push_front(newest);
-        self.prefixes.truncate(processes.div_ceil(HEARD_A_PERIOD));
-        self.prefixes.iter().flatten().cloned().collect()
+        self.recent_prefixes.push_front(newest);
+        self.recent_prefixes.truncate(processes.div_ceil(HEARD_A_PERIOD));
+        self.recent_prefixes.iter().flatten().cloned().collect()
     }
 
-    /// Sends a heartbeat, and with it as many of `passed_on` as fit into `most_bytes`.
+    /// Sends a heartbeat, with as many of the `relayed` ones as fit into `max_bytes`.
     fn send_to(
         &self,
         heartbeat: &Heartbeat,
         to: &[SocketAddr],
-        passed_on: &[Vec<u8>],
-        most_bytes: usize,
+        relayed: &[Vec<u8>],
+        max_bytes: usize,
     ) {
         let own = match heartbeat.encode() {
             Ok(datagram) => datagram,
             Err(e) => {
-                log::error!("the heartbeat cannot be encoded: {e}");
+                log::error!("own heartbeat cannot be encoded: {e}");
                 return;
             }
         };
-        for (datagram, address) in datagrams(&own, passed_on, to.len(), most_bytes).zip(to) {
+        for (datagram, address) in datagrams(&own, relayed, to.len(), max_bytes).zip(to) {
             if let Err(e) = self.socket.try_send_to(&datagram, *address) {
-                // The next one follows soon.
-                log::debug!("heartbeat to {address}: {e}");
+                // Not retried: the next heartbeat follows soon.
+                log::debug!("sending a heartbeat to {address} failed: {e}");
             }
         }
     }
 
-    /// Returns the heartbeats that are passed on: those of this data centre, and all.
-    fn to_pass_on(&self, now: Instant) -> (Vec<Vec<u8>>, Vec<Vec<u8>>) {
+    /// Returns the encoded heartbeats to relay: those of this data centre, and all of them.
+    fn relayed_heartbeats(&self, now: Instant) -> (Vec<Vec<u8>>, Vec<Vec<u8>>) {
         let own = self.gateway.settings.borrow().data_centre.clone();
         let heartbeats = self.gateway.board.borrow_mut().to_pass_on(&own, now);
         let mut near = Vec::new();
         let mut all = Vec::new();
-        for (is_near, passed_on) in heartbeats {
-            match passed_on.encode() {
+        for (is_near, heartbeat) in heartbeats {
+            match heartbeat.encode() {
                 Ok(bytes) => {
                     if is_near {
                         near.push(bytes.clone());
                     }
                     all.push(bytes);
                 }
-                Err(e) => log::error!("a heartbeat cannot be passed on: {e}"),
+                Err(e) => log::error!("relayed heartbeat cannot be encoded: {e}"),
             }
         }
         (near, all)
@@ -184,18 +189,19 @@
         usage
     }
 
-    /// Returns who gets this heartbeat: the holder of the lease, if it is due a report; some
-    /// of the gateways that are heard; and at times, and at first, those that are silent.
-    fn receivers(&self, reports: bool, now: Instant) -> Addressed {
+    /// Returns the recipients of this heartbeat: the holder of the lease if it `reports_usage`,
+    /// some of the gateways that are heard, and from time to time some that are not. During
+    /// startup, a sample of all known addresses.
+    fn recipients(&self, reports_usage: bool, now: Instant) -> Recipients {
         let own = self.gateway.settings.borrow().data_centre.clone();
         let board = self.gateway.board.borrow();
         let holder = board.heard(now).find(|p| p.last.holds_lease());
-        let holder = holder.map(|p| p.last.heartbeats).filter(|_| reports);
-        if self.first_beats > 0 {
+        let holder = holder.map(|p| p.last.heartbeats).filter(|_| reports_usage);
+        if self.startup_left > 0 {
             let others = self.addresses.iter().filter(|a| Some(**a) != holder);
             let all: Vec<SocketAddr> = others.copied().collect();
-            let far = sample(&all, FIRST_FAN_OUT);
-            return Addressed { far, holder, ..Addressed::default() };
+            let far = sample(&all, STARTUP_FAN_OUT);
+            return Recipients { far, holder, ..Recipients::default() };
         }
         let heard: Vec<&PeerView> = board.heard(now).collect();
         let mut near = Vec::new();
@@ -209,14 +215,14 @@
         let sizes: Vec<usize> = far.values().map(Vec::len).collect();
         let all = Receivers { near: near.len(), far: sizes.iter().sum() };
         let most = receivers(all.near, all.far);
-        let shares = far_shares(&sizes, most.far, self.beats);
-        let mut chosen = Addressed {
-            near: turns(near.len(), most.near, self.beats).map(|i| near[i]).collect(),
-            far: far.values().zip(shares).flat_map(|(a, most)| sample(a, most)).collect(),
+        let shares = far_shares(&sizes, most.far, self.number);
+        let mut chosen = Recipients {
+            near: turns(near.len(), most.near, self.number).map(|i| near[i]).collect(),
+            far: far.values().zip(shares).flat_map(|(a, max)| sample(a, max)).collect(),
             holder,
-            some_left_out: most != all,
+            is_partial: most != all,
         };
-        if heard.is_empty() || self.beats.is_multiple_of(SILENT_EVERY) {
+        if heard.is_empty() || self.number.is_multiple_of(SILENT_INTERVAL) {
             let is_heard = |a: &SocketAddr| heard.iter().any(|p| p.last.heartbeats == *a);
             let silent: Vec<SocketAddr> =
                 self.addresses.iter().filter(|a| !is_heard(a)).copied().collect();
@@ -228,7 +234,7 @@
     fn compose(&self, now: Instant) -> Heartbeat {
         let settings = self.gateway.settings.borrow();
         let mut board = self.gateway.board.borrow_mut();
-        board.recent_changes.forget(now, CHANGES_TOLD);
+        board.recent_changes.forget(now, CHANGE_RETENTION);
         Heartbeat {
             host: settings.id.clone(),
             incarnation: self.gateway.incarnation,
--- a/src/gateway/controllers/kept.rs
+++ b/src/gateway/controllers/kept.rs
@@ -1,6 +1,6 @@
-//! What the holder of the lease keeps in the store for processes that start
-//! later: levels of quotas, counts of usage, and need and orders of engines. Without it,
-//! a kill of all processes would leave nobody who knows them.
+//! State that the holder of the lease persists in the store for processes that start later: quota
+//! levels, usage counts, and the need and orders of engines. Without it, a kill of all gateways
+//! would lose them.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,16 +11,16 @@
     telemetry::count,
 };
 
-/// Key of the row.
-pub const KEPT_KEY: &str = "kept";
-/// Key of the row of verdicts on requests that crash upstreams.
+/// Key of the row of persisted state.
+pub const STATE_KEY: &str = "kept";
+/// Key of the row of quarantine verdicts on requests that crash upstreams.
 pub const QUARANTINE_KEY: &str = "quarantine";
-/// Between writes. Each is paid for; what happens in between is lost when all
-/// processes are killed at once.
-pub const KEEP_EVERY: Duration = Duration::from_millis(200);
+/// Interval between writes of the row. Each write costs money; a kill of all gateways at once loses
+/// what changed since the last one.
+pub const PERSIST_PERIOD: Duration = Duration::from_millis(200);
 
-/// Returns the row of what the next processes need.
-pub fn kept_row(gateway: &Gateway) -> Option<RowWrite> {
+/// Returns the write of the current state; `None` if it cannot be encoded.
+pub fn state_row(gateway: &Gateway) -> Option<RowWrite> {
     let kept = {
         let mut board = gateway.board.borrow_mut();
         let now = clock::now();
@@ -30,15 +30,15 @@
     };
     let mut value = Vec::new();
     if let Err(e) = ciborium::into_writer(&kept, &mut value) {
-        log::error!("quotas, usage and needs cannot be encoded: {e}");
+        log::error!("the state to persist cannot be encoded: {e}");
         return None;
     }
-    Some(RowWrite { table: Table::Duties, key: KEPT_KEY.to_owned(), value, expected: None })
+    Some(RowWrite { table: Table::Duties, key: STATE_KEY.to_owned(), value, expected: None })
 }
 
-/// Writes what the next processes need.
-pub async fn keep(gateway: Rc<Gateway>) {
-    let Some(row) = kept_row(&gateway) else {
+/// Writes the current state to the store.
+pub async fn persist(gateway: Rc<Gateway>) {
+    let Some(row) = state_row(&gateway) else {
         return;
     };
     let written = gateway.store.write(&[row]).await;
@@ -46,18 +46,18 @@
     count(&gateway.metrics.platform_calls, if written.is_ok() { "keep" } else { "keep_failed" });
 }
 
-/// Takes over what earlier processes left.
+/// Restores quotas, usage, and the need and orders of engines from the row of persisted state.
 ///
 /// # Errors
 ///
-/// Fails if the row cannot be read as it was written.
+/// Fails if the row cannot be decoded.
 pub fn restore(gateway: &Gateway, row: &StoreRow) -> Result<(), WireError> {
     let kept: Kept = ciborium::from_reader(&row.value[..])?;
     let mut guard = gateway.board.borrow_mut();
     let board = &mut *guard;
     let capacity = kept.restore(&mut board.quotas, &mut board.usage, clock::now());
     board.kept_needs = capacity.needs;
-    // What a holder has told since is newer.
+    // Orders already received from a holder's heartbeat are newer than the row.
     if board.capacity.orders.is_empty() {
         board.capacity.orders = capacity.orders;
     }
--- a/src/gateway/controllers/ages.rs
+++ b/src/gateway/controllers/knowledge_age.rs
@@ -1,4 +1,5 @@
-//! Tells when what is known of the store grows old, and when it is new again.
+//! Monitors how stale the knowledge of the store's tables is: sets the metric, and logs when it
+//! becomes stale and when it is up to date again.
 
 use std::time::Instant;
 
@@ -9,16 +10,17 @@
     telemetry::{Event, KnowledgeLabels},
 };
 
-/// Since when what is followed is old.
+/// Detects when the knowledge of a followed table becomes stale or recovers.
 #[derive(Debug, Default)]
-pub(super) struct Ages {
-    old: [Option<Instant>; Followed::ALL.len()],
+pub(super) struct KnowledgeAges {
+    /// Since when each followed table has been stale; `None` while it is up to date.
+    stale_since: [Option<Instant>; Followed::ALL.len()],
 }
 
-impl Ages {
-    /// Measures the ages, and logs those that have become old or new.
-    pub(super) fn look(&mut self, gateway: &Gateway, now: Instant) {
-        for (followed, old) in Followed::ALL.into_iter().zip(&mut self.old) {
+impl KnowledgeAges {
+    /// Updates the age metrics and logs each change between stale and up to date.
+    pub(super) fn update(&mut self, gateway: &Gateway, now: Instant) {
+        for (followed, stale_since) in Followed::ALL.into_iter().zip(&mut self.stale_since) {
             let board = gateway.board.borrow();
             let Some(age) = board.age(followed, now) else {
                 continue;
@@ -27,14 +29,14 @@
             drop(board);
             let (of, labels) = (followed.name(), KnowledgeLabels::new(followed));
             gateway.metrics.knowledge_age.get_or_create(&labels).set(age.as_secs_f64());
-            match *old {
+            match *stale_since {
                 None if age >= OLD => {
-                    *old = Some(now);
+                    *stale_since = Some(now);
                     let age_ms = age.as_millis() as u64;
                     gateway.log(&Event::KnowledgeOld { of, age_ms, position });
                 }
                 Some(since) if age < OLD => {
-                    *old = None;
+                    *stale_since = None;
                     let after_ms = now.saturating_duration_since(since).as_millis() as u64;
                     gateway.log(&Event::KnowledgeFresh { of, after_ms, position });
                 }
--- a/src/gateway/controllers/missing_rows.rs
+++ b/src/gateway/controllers/missing_rows.rs
@@ -1,4 +1,5 @@
-//! Rows of upstreams that disappear: which upstreams are gone, and which may serve on.
+//! Rows of upstreams that disappear from the store: decides whether the upstream is removed at once
+//! or kept for now because its row may have lapsed while the store was unavailable.
 
 use std::time::Instant;
 
@@ -15,7 +16,7 @@
 };
 
 impl Directory {
-    /// Handles the removal of a row that an answer of the store shows at `seen`.
+    /// Handles the removal of a row, observed in an answer of the store as of `seen`.
     pub(super) fn handle_removal(
         &self,
         id: &UpstreamId,
@@ -29,24 +30,25 @@
         let is_known = board.same_removal(id, revision).is_some();
         drop(board);
         match removal.filter(|_| serves) {
-            // A list that is read whole lacks the row again.
+            // Already recorded: every further snapshot lacks the row too.
             Some(_) if is_known => {}
             Some(removal) => self.mark_missing(id, removal, Source::Store, now),
             None => self.remove(id, revision, now),
         }
     }
 
-    /// Handles the word of another gateway that a row is missing.
+    /// Handles another gateway's report that a row is missing.
     pub(super) fn handle_peer_removal(&self, id: &UpstreamId, removal: Removal, now: Instant) {
-        // That gateway may have been cut off itself.
-        let was_there = self.gateway.board.borrow().store_was_there(now);
-        match was_there {
+        // If this gateway or one that it hears saw the store available all along, the reporting
+        // gateway was merely partitioned, and the row is gone for good.
+        let store_was_up = self.gateway.board.borrow().store_was_there(now);
+        match store_was_up {
             true => self.remove(id, removal.revision, now),
             false => self.mark_missing(id, removal, Source::Peer, now),
         }
     }
 
-    /// Takes over an upstream whose row is missing at another gateway.
+    /// Copies an upstream whose row another gateway reports as missing.
     pub(super) fn copy_missing_upstream(&self, upstream: Upstream, removal: Removal, now: Instant) {
         let id = upstream.id.clone();
         let known = self.gateway.board.borrow().same_removal(&id, removal.revision);
@@ -56,8 +58,9 @@
         self.mark_missing(&id, removal, Source::Peer, now);
     }
 
-    /// Takes over what another gateway tells of a change up to which all is known here. It
-    /// may know more of a removal: whichever word is more certain holds, in any order.
+    /// Merges another gateway's report of a change up to whose revision all is known here. That
+    /// gateway may know more about a removal. The more certain report always wins, so the order in
+    /// which they arrive does not matter.
     pub(super) fn merge_peer_change(
         &self,
         revision: Revision,
@@ -117,8 +120,8 @@
         });
     }
 
-    /// Marks the rows that have lapsed, if others went missing since: once for all changes of
-    /// a message, as each look goes through all upstreams.
+    /// Marks missing rows that have lapsed, if any were reported since the last call. Called once
+    /// for all changes of a message, since it iterates over all upstreams.
     pub(super) fn mark_lapsed(&self) {
         if !self.missing_changed.take() {
             return;
@@ -134,7 +137,7 @@
         }
     }
 
-    /// Drops an upstream whose row is missing, as another gateway knows that it is gone.
+    /// Drops an upstream whose row is missing here and which another gateway reports as gone.
     fn drop_upstream(&self, id: &UpstreamId) {
         let mut board = self.gateway.board.borrow_mut();
         board.recent_changes.amend(id, UpstreamChange::Gone(id.clone()));
@@ -142,13 +145,14 @@
         self.drop_upstreams(vec![id.clone()]);
     }
 
-    /// Drops upstreams whose rows stayed away. Each process does so by itself: the store has
-    /// no revision for it.
+    /// Drops upstreams whose rows did not return in time, or at once if some gateway saw the store
+    /// available all along. Each process does so on its own: the store has no revision for it.
     pub(super) fn drop_missing(&self, now: Instant) {
         let board = self.gateway.board.borrow();
-        let was_there = board.store_was_there(now);
-        let over = |v: &UpstreamView| v.missing.is_some_and(|row| was_there || now >= row.until);
-        let missing = board.upstreams.iter().filter(|(_, v)| over(v));
+        let store_was_up = board.store_was_there(now);
+        let expired =
+            |v: &UpstreamView| v.missing.is_some_and(|row| store_was_up || now >= row.until);
+        let missing = board.upstreams.iter().filter(|(_, v)| expired(v));
         let ids: Vec<UpstreamId> = missing.map(|(id, _)| id.clone()).collect();
         drop(board);
         self.drop_upstreams(ids);
--- a/src/gateway/controllers/mod.rs
+++ b/src/gateway/controllers/mod.rs
@@ -1,22 +1,22 @@
-//! Controllers: `stakker` actors that keep the board.
+//! Controllers: `stakker` actors, each of which maintains part of the board.
 
-mod ages;
 mod asking;
 mod capacity;
-mod catching_up;
 mod configuration;
 mod crashes;
 mod directory;
 mod duties;
-mod joining;
+mod graceful_shutdown;
+mod heartbeat_sender;
 mod kept;
-mod leaving;
+mod knowledge_age;
 mod missing_rows;
+mod peer_sync;
 mod peers;
 mod reading;
 mod rollouts;
 mod source;
-mod telling;
+mod startup;
 mod usage_report;
 
 use std::rc::Rc;
@@ -31,31 +31,31 @@
 pub use crashes::Crashes;
 pub use directory::Directory;
 pub use duties::Duties;
-pub use joining::{announce, recall};
-pub use leaving::Leaving;
+pub use graceful_shutdown::GracefulShutdown;
 pub use peers::Peers;
-pub use reading::follow;
+pub use reading::follow_table;
 pub use rollouts::Rollouts;
 pub use source::Source;
+pub use startup::{register_member, restore_state};
 
-/// The controllers, to which messages are handed.
+/// Owning handles of all controllers, through which they are sent messages.
 pub struct Controllers {
-    /// Configuration in force.
+    /// Keeps the newest configuration in force.
     pub configuration: ActorOwn<ConfigurationController>,
-    /// Upstreams.
+    /// Maintains the list of upstreams.
     pub directory: ActorOwn<Directory>,
-    /// Other gateways.
+    /// Exchanges heartbeats with the other gateways.
     pub peers: ActorOwn<Peers>,
-    /// Requests that crash upstreams.
+    /// Exchanges reports of requests that crash upstreams, and their quarantine verdicts.
     pub crashes: ActorOwn<Crashes>,
-    /// Lease and usage reports.
+    /// Renews the lease on the duties and sends usage reports while it is held.
     pub duties: ActorOwn<Duties>,
-    /// Orders of engines.
+    /// Orders engines while this process holds the lease.
     pub capacity: ActorOwn<Capacity>,
-    /// Roll-outs of versions.
+    /// Follows roll-outs of versions.
     pub rollouts: ActorOwn<Rollouts>,
-    /// Leaving.
-    pub leaving: ActorOwn<Leaving>,
+    /// Shuts the process down without interrupting requests.
+    pub graceful_shutdown: ActorOwn<GracefulShutdown>,
 }
 
 impl std::fmt::Debug for Controllers {
@@ -65,7 +65,7 @@
 }
 
 impl Controllers {
-    /// Starts the controllers.
+    /// Starts all controllers on `s`; `heartbeats` is the socket for messages between gateways.
     pub fn start(s: &mut Stakker, gateway: &Rc<Gateway>, heartbeats: Rc<UdpSocket>) -> Self {
         let cx = || gateway.clone();
         Self {
@@ -76,7 +76,7 @@
             duties: actor!(s, Duties::init(cx()), ret_nop!()),
             capacity: actor!(s, Capacity::init(cx()), ret_nop!()),
             rollouts: actor!(s, Rollouts::init(cx()), ret_nop!()),
-            leaving: actor!(s, Leaving::init(cx()), ret_nop!()),
+            graceful_shutdown: actor!(s, GracefulShutdown::init(cx()), ret_nop!()),
         }
     }
 }
--- a/src/gateway/controllers/catching_up.rs
+++ b/src/gateway/controllers/peer_sync.rs
@@ -1,4 +1,5 @@
-//! Fetches from other gateways what they know and this one does not.
+//! Fetches the configuration or the list of upstreams from another gateway that has a newer
+//! version than this one.
 
 use std::{
     cell::Cell,
@@ -18,57 +19,59 @@
     peering::UpstreamSnapshot,
 };
 
-/// How long another gateway may be ahead with the upstreams before it is asked: heartbeats
-/// bring single changes by themselves. A configuration comes by asking alone.
-const UPSTREAMS_PATIENCE: Duration = Duration::from_millis(300);
-/// Pause between two questions.
-const ASK_EVERY: Duration = Duration::from_millis(400);
+/// How long another gateway may have newer upstreams before they are fetched: heartbeats usually
+/// deliver single changes sooner. A configuration is not in heartbeats and is fetched at once.
+const UPSTREAMS_FETCH_DELAY: Duration = Duration::from_millis(300);
+/// Shortest interval between two fetches.
+const FETCH_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Keeps up with what the other gateways know of one thing.
+/// Brings one followed table up to date from the other gateways.
 #[derive(Debug)]
-pub(super) struct CatchUp {
+pub(super) struct PeerSync {
     gateway: Rc<Gateway>,
     followed: Followed,
     behind_since: Option<Instant>,
-    asked: Option<Instant>,
-    /// Whether an answer is on its way here: a second one beside it would only share the
-    /// link.
+    last_fetch: Option<Instant>,
+    /// Whether a fetch is in flight: a second one at the same time would only compete with it
+    /// for the link.
     fetching: Rc<Cell<bool>>,
 }
 
-impl CatchUp {
+impl PeerSync {
     pub(super) fn new(gateway: Rc<Gateway>, followed: Followed) -> Self {
         let fetching = Rc::default();
-        Self { gateway, followed, behind_since: None, asked: None, fetching }
+        Self { gateway, followed, behind_since: None, last_fetch: None, fetching }
     }
 
-    /// Asks another gateway if it has been ahead for long enough.
-    pub(super) fn look(&mut self, now: Instant) {
+    /// Starts a fetch if another gateway has been ahead for long enough.
+    pub(super) fn check(&mut self, now: Instant) {
         let Some(from) = self.source(now) else {
             self.behind_since = None;
             return;
         };
         let since = *self.behind_since.get_or_insert(now);
-        let waited = now.saturating_duration_since(since) >= self.patience();
-        let asked = self.asked.is_some_and(|t| now.saturating_duration_since(t) < ASK_EVERY);
-        if !waited || asked || self.fetching.get() {
+        let is_due = now.saturating_duration_since(since) >= self.fetch_delay();
+        let is_recent =
+            self.last_fetch.is_some_and(|t| now.saturating_duration_since(t) < FETCH_INTERVAL);
+        if !is_due || is_recent || self.fetching.get() {
             return;
         }
-        self.asked = Some(now);
+        self.last_fetch = Some(now);
         self.fetching.set(true);
         spawn_local(fetch(self.gateway.clone(), self.followed, from, self.fetching.clone()));
     }
 
-    fn patience(&self) -> Duration {
-        let knows_some = self.gateway.board.borrow().knowledge(self.followed).is_some();
+    fn fetch_delay(&self) -> Duration {
+        let has_any = self.gateway.board.borrow().knowledge(self.followed).is_some();
         match self.followed {
-            Followed::Upstreams if knows_some => UPSTREAMS_PATIENCE,
+            Followed::Upstreams if has_any => UPSTREAMS_FETCH_DELAY,
             Followed::Configuration | Followed::Upstreams => Duration::ZERO,
         }
     }
 
-    /// Returns a gateway that is ahead: any of those that have the newest, in this data centre
-    /// if there are some. One alone cannot answer all at once, and may be cut off.
+    /// Returns the address of a random gateway that has the newest version, in this data centre
+    /// if possible; `None` if none is ahead of this one. The choice is random because a single
+    /// gateway could not serve all others at once, and may be partitioned.
     fn source(&self, now: Instant) -> Option<SocketAddr> {
         let board = self.gateway.board.borrow();
         let newest = board.heard(now).map(|p| self.known_by(p)).max()?;
@@ -83,7 +86,8 @@
         fastrand::choice(sources).map(|p| p.last.peers)
     }
 
-    /// Returns the newest version, or revision of a change, that another gateway knows.
+    /// Returns the configuration version, or the revision of the newest upstream change, that
+    /// another gateway announces.
     fn known_by(&self, peer: &PeerView) -> u64 {
         match self.followed {
             Followed::Configuration => peer.last.configuration,
@@ -109,24 +113,26 @@
         Followed::Configuration => fetch_configuration(&gateway, from).await,
         Followed::Upstreams => fetch_upstreams(&gateway, from).await,
     };
-    // Others may have it meanwhile, so the next fetch does not wait for the store.
+    // Cleared before the read of the store: another gateway may have the data by now, so the next
+    // fetch need not wait for the store.
     fetching.set(false);
     if !fetched {
         read_once(gateway, followed).await;
     }
 }
 
-/// Returns whether the gateway answered in time. A large document takes long on a slow link,
-/// so the few that have a new one first cannot answer all others.
+/// Fetches the configuration; returns whether the gateway answered in time. On a slow link a large
+/// document takes long, so the first gateways to have a new one cannot serve all others.
 async fn fetch_configuration(gateway: &Gateway, from: SocketAddr) -> bool {
     let Some(document) = ask(from, "/peer/configuration").await else {
         return false;
     };
-    gateway.tell(|c| call!([c.configuration], take(document, Source::Peer)));
+    gateway.tell(|c| call!([c.configuration], apply(document, Source::Peer)));
     true
 }
 
-/// Returns whether the gateway answered in time, and readably.
+/// Fetches the list of upstreams, or its changes since the revision known here; returns whether
+/// the gateway answered in time and its answer could be decoded.
 async fn fetch_upstreams(gateway: &Gateway, from: SocketAddr) -> bool {
     let known = gateway.board.borrow().upstreams_position();
     let Some(bytes) = ask(from, &format!("/peer/upstreams/{known}")).await else {
@@ -134,7 +140,7 @@
     };
     let decoded = UpstreamSnapshot::decode(&bytes);
     if let Err(e) = &decoded {
-        log::error!("{from} told its upstreams unreadably: {e}");
+        log::error!("list of upstreams from gateway {from} cannot be decoded: {e}");
     }
     decoded.is_ok_and(|snapshot| {
         gateway.tell(|c| call!([c.directory], copy(snapshot)));
--- a/src/gateway/controllers/peers.rs
+++ b/src/gateway/controllers/peers.rs
@@ -1,4 +1,4 @@
-//! The other gateways: what this process hears of them.
+//! Heartbeats between the gateways: applies what the others send, and sends this process's own.
 
 use std::{
     net::SocketAddr,
@@ -9,7 +9,7 @@
 use stakker::{CX, call, timer_max};
 use tokio::net::UdpSocket;
 
-use super::{ages::Ages, catching_up::CatchUp, telling::Teller};
+use super::{heartbeat_sender::HeartbeatSender, knowledge_age::KnowledgeAges, peer_sync::PeerSync};
 use crate::{
     control::HeardClaim,
     gateway::{
@@ -24,46 +24,46 @@
     prefix,
 };
 
-/// From which difference of age another process counts as older than this one:
-/// the time in which processes that were killed together come back.
+/// Difference of uptime above which another process counts as older than this one. Processes that
+/// were killed together restart within this time.
 const OLDER_BY_MS: u64 = 1_500;
 
-/// Controller of the other gateways.
+/// Controller of the heartbeats between gateways.
 #[derive(Debug)]
 pub struct Peers {
     gateway: Rc<Gateway>,
     timer: stakker::MaxTimerKey,
-    teller: Teller,
-    ages: Ages,
-    catch_up: [CatchUp; Followed::ALL.len()],
+    sender: HeartbeatSender,
+    knowledge_ages: KnowledgeAges,
+    syncs: [PeerSync; Followed::ALL.len()],
 }
 
 impl Peers {
-    /// Starts the controller.
+    /// Creates the controller and starts its periodic heartbeats on `socket`.
     pub fn init(cx: CX![], gateway: Rc<Gateway>, socket: Rc<UdpSocket>) -> Option<Self> {
         call!([cx], tick());
-        let catch_up = Followed::ALL.map(|of| CatchUp::new(gateway.clone(), of));
-        let teller = Teller::new(gateway.clone(), socket);
+        let syncs = Followed::ALL.map(|of| PeerSync::new(gateway.clone(), of));
+        let sender = HeartbeatSender::new(gateway.clone(), socket);
         let timer = stakker::MaxTimerKey::default();
-        Some(Self { gateway, timer, teller, ages: Ages::default(), catch_up })
+        Some(Self { gateway, timer, sender, knowledge_ages: KnowledgeAges::default(), syncs })
     }
 
-    /// Takes over addresses that were found in the store, and tells all of
-    /// them of this process.
-    pub fn found(&mut self, cx: CX![], addresses: Vec<SocketAddr>) {
+    /// Handles the addresses of the registered gateways, as read from the store, and announces this
+    /// process to them.
+    pub fn members_read(&mut self, cx: CX![], addresses: Vec<SocketAddr>) {
         let own = self.gateway.settings.borrow().listen.heartbeats;
-        let place = |a: &SocketAddr| prefix::hash(a.to_string().as_bytes());
-        let rank = addresses.iter().filter(|a| place(a) < place(&own)).count();
+        let order = |a: &SocketAddr| prefix::hash(a.to_string().as_bytes());
+        let rank = addresses.iter().filter(|a| order(a) < order(&own)).count();
         let mut board = self.gateway.board.borrow_mut();
         board.announced = addresses.len();
         board.told_until = Some(cx.now() + wait_at_start(rank));
         drop(board);
-        self.teller.found(addresses);
-        self.teller.send(cx.now());
+        self.sender.add_members(addresses);
+        self.sender.send(cx.now());
     }
 
-    /// Takes over a heartbeat from its sender.
-    pub fn hear(&mut self, cx: CX![], mut heartbeat: Heartbeat) {
+    /// Handles a heartbeat that came directly from its sender.
+    pub fn heartbeat_received(&mut self, cx: CX![], mut heartbeat: Heartbeat) {
         let now = cx.now();
         let process = heartbeat.process();
         if process == self.gateway.process {
@@ -78,14 +78,14 @@
         if self.gateway.board.borrow().is_outdated(&process, &heartbeat) {
             return;
         }
-        if self.take(heartbeat, now, now) {
-            self.teller.greet(from, now);
+        if self.apply(heartbeat, now, now) {
+            self.sender.reply_to_new(from, now);
         }
     }
 
-    /// Takes over a heartbeat that another gateway passes on.
-    pub fn overhear(&mut self, cx: CX![], passed_on: PassedOn) {
-        let PassedOn { age_ms, mut heartbeat } = passed_on;
+    /// Handles a heartbeat that another gateway relays.
+    pub fn relayed_heartbeat_received(&mut self, cx: CX![], relayed: PassedOn) {
+        let PassedOn { age_ms, mut heartbeat } = relayed;
         let process = heartbeat.process();
         let board = self.gateway.board.borrow();
         let known = board.peers.get(&process);
@@ -97,18 +97,18 @@
         let now = cx.now();
         let sent = now.checked_sub(Duration::from_millis(age_ms)).unwrap_or(now);
         heartbeat.time = heartbeat.time.saturating_add(age_ms);
-        self.take(heartbeat, sent, now);
+        self.apply(heartbeat, sent, now);
     }
 
-    /// Takes over a heartbeat that was sent at `sent`; returns whether its process is new.
-    fn take(&mut self, heartbeat: Heartbeat, sent: Instant, now: Instant) -> bool {
-        self.teller.knows(heartbeat.heartbeats);
-        self.take_knowledge(&heartbeat);
-        self.take_accounts(&heartbeat, now);
+    /// Applies a heartbeat that was sent at `sent`; returns whether its process was unknown.
+    fn apply(&mut self, heartbeat: Heartbeat, sent: Instant, now: Instant) -> bool {
+        self.sender.add_address(heartbeat.heartbeats);
+        self.adopt_knowledge(&heartbeat);
+        self.apply_reports(&heartbeat, now);
         let process = heartbeat.process();
         if let Some(claim) = heartbeat.lease {
             let heard = HeardClaim { holder: process.clone(), claim, at: sent };
-            self.gateway.tell(|c| call!([c.duties], claimed(heard)));
+            self.gateway.tell(|c| call!([c.duties], claim_received(heard)));
         }
         let mut board = self.gateway.board.borrow_mut();
         let before = board.hear(process.clone(), heartbeat, sent);
@@ -124,27 +124,27 @@
         before.is_none()
     }
 
-    /// Tells the others at once, for example that this process leaves.
+    /// Sends a heartbeat at once, for example when this process begins to shut down.
     pub fn tell_now(&mut self, cx: CX![]) {
-        self.teller.send(cx.now());
+        self.sender.send(cx.now());
     }
 
     fn tick(&mut self, cx: CX![]) {
         let now = cx.now();
         timer_max!(&mut self.timer, now + HEARTBEAT_PERIOD, [cx], tick());
-        self.forget(now);
-        self.ages.look(&self.gateway, now);
+        self.forget_silent(now);
+        self.knowledge_ages.update(&self.gateway, now);
         let mut board = self.gateway.board.borrow_mut();
         board.average_costs(now);
         board.add_up_outcomes(now);
         let leaving = self.gateway.shutdown.phase() > Phase::Serving;
         board.divide_limits(&self.gateway.settings.borrow().id, leaving, now);
         drop(board);
-        self.teller.send(now);
-        self.catch_up.iter_mut().for_each(|c| c.look(now));
+        self.sender.send(now);
+        self.syncs.iter_mut().for_each(|sync| sync.check(now));
     }
 
-    fn take_accounts(&self, heartbeat: &Heartbeat, now: Instant) {
+    fn apply_reports(&self, heartbeat: &Heartbeat, now: Instant) {
         let process: ProcessId = heartbeat.process();
         let mut guard = self.gateway.board.borrow_mut();
         let board = &mut *guard;
@@ -160,7 +160,7 @@
                 }
             }
             for prefix in &heartbeat.prefixes {
-                // An engine in a lifetime that is not known: its word changes nothing.
+                // `None` for an upstream lifetime that is not known here; the report is ignored.
                 if let Some(capacity) = board.cache_tokens(&configuration, prefix.2) {
                     board.cache.note(prefix.2, prefix.0, prefix.1, capacity, now);
                 }
@@ -187,17 +187,17 @@
         }
     }
 
-    /// Takes over how new the knowledge of another gateway is, where this one knows as
-    /// much: then it is as new here.
-    fn take_knowledge(&self, heartbeat: &Heartbeat) {
+    /// Adopts the store position up to which another gateway knows the configuration, if this one
+    /// has at least the same version: it is then known up to there here too.
+    fn adopt_knowledge(&self, heartbeat: &Heartbeat) {
         let mut board = self.gateway.board.borrow_mut();
-        let as_much = heartbeat.configuration <= board.configuration_version();
-        if let Some(told) = heartbeat.configuration_knowledge.filter(|_| as_much) {
-            board.configuration_knowledge.get_or_insert(told).advance(told);
+        let is_current = heartbeat.configuration <= board.configuration_version();
+        if let Some(known) = heartbeat.configuration_knowledge.filter(|_| is_current) {
+            board.configuration_knowledge.get_or_insert(known).advance(known);
         }
     }
 
-    fn forget(&mut self, now: Instant) {
+    fn forget_silent(&mut self, now: Instant) {
         let mut board = self.gateway.board.borrow_mut();
         let old = |p: &PeerView| now.saturating_duration_since(p.heard) >= PEER_FORGOTTEN;
         let gone: Vec<ProcessId> =
--- a/src/gateway/controllers/reading.rs
+++ b/src/gateway/controllers/reading.rs
@@ -1,5 +1,5 @@
-//! Reads of the store's tables: calls that wait for changes, begun on time whatever has
-//! become of those before.
+//! Reads of the store's tables by long polling. Each call starts on schedule, whether or not
+//! earlier ones were answered.
 
 use std::{
     cell::Cell,
@@ -24,28 +24,28 @@
     telemetry::count,
 };
 
-/// What the answer to a call may take beyond its wait before the next call begins. The
-/// late one still counts when it comes.
-const ANSWER_TIME: Duration = Duration::from_millis(100);
-/// Time in which the controllers take over a table that was read for the first time.
-const TAKEN_OVER: Duration = Duration::from_millis(20);
-/// Pause after changes of upstreams: they come in groups, and each call is paid for.
-const GROUP_PAUSE: Duration = Duration::from_millis(60);
-/// For how long a process that starts waits to learn how many others there are.
-const MEMBERS_KNOWN: Duration = Duration::from_millis(300);
-/// Between looks at whether it has been told.
-const LOOK: Duration = Duration::from_millis(5);
+/// How long after its wait a call may remain unanswered before the next call begins. A late answer
+/// is still used.
+const ANSWER_ALLOWANCE: Duration = Duration::from_millis(100);
+/// Pause after a snapshot, in which the controllers apply it.
+const APPLY_PAUSE: Duration = Duration::from_millis(20);
+/// Pause after changes of upstreams: they come in bursts, and each call costs money.
+const BURST_PAUSE: Duration = Duration::from_millis(60);
+/// How long a starting process waits for the list of registered gateways.
+const MEMBERS_WAIT: Duration = Duration::from_millis(300);
+/// Interval between checks of whether a starting process has received the list of upstreams.
+const STARTUP_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Key of the configuration's row.
 const CONFIGURATION_KEY: &str = "config";
 
-/// How a call was answered.
+/// Result of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Answered {
-    /// Changes, or the whole table.
+enum ReadOutcome {
+    /// It returned changes, or the whole table.
     Changed,
-    /// There were none.
+    /// It returned no changes.
     Unchanged,
-    /// No answer that can be used.
+    /// It returned no usable answer.
     Failed,
 }
 
@@ -53,12 +53,12 @@
 struct TableReader {
     gateway: Rc<Gateway>,
     followed: Followed,
-    /// Revision up to which all changes were handed on.
+    /// Revision up to which all changes were passed to the controllers.
     known: Cell<Revision>,
 }
 
-/// Reads what is followed whenever it is this process's turn.
-pub async fn follow(gateway: Rc<Gateway>, followed: Followed) {
+/// Keeps the knowledge of a table up to date: reads the table whenever it is this process's turn.
+pub async fn follow_table(gateway: Rc<Gateway>, followed: Followed) {
     let reader = Rc::new(TableReader { gateway, followed, known: Cell::default() });
     let mut backoff = Backoff::default();
     loop {
@@ -68,13 +68,13 @@
         }
         match reader.turn() {
             None => match reader.snapshot().await {
-                Answered::Failed => sleep(backoff.failed(fastrand::f64())).await,
-                Answered::Changed | Answered::Unchanged => {
+                ReadOutcome::Failed => sleep(backoff.failed(fastrand::f64())).await,
+                ReadOutcome::Changed | ReadOutcome::Unchanged => {
                     backoff.answered();
-                    sleep(TAKEN_OVER).await;
+                    sleep(APPLY_PAUSE).await;
                 }
             },
-            Some(Turn::Wait(wait)) => reader.wait(wait).await,
+            Some(Turn::Wait(wait)) => reader.long_poll(wait).await,
             Some(Turn::StandIn(pause)) => {
                 drop(spawn_local(reader.clone().read(Duration::ZERO)));
                 sleep(pause).await;
@@ -92,23 +92,23 @@
         }
     }
 
-    /// Returns how long to wait for others to tell the list of upstreams, of which nothing is
-    /// known yet.
+    /// Returns how long to wait before the next check of whether other gateways have sent the list
+    /// of upstreams; `None` once it is known, or time to read the store.
     fn wait_at_start(&self) -> Option<Duration> {
         let board = self.gateway.board.borrow();
         if self.followed != Followed::Upstreams || board.upstreams_knowledge.is_some() {
             return None;
         }
         let now = clock::now();
-        let until = board.told_until.unwrap_or(self.gateway.started + MEMBERS_KNOWN);
-        (now < until).then(|| LOOK.min(until - now))
+        let until = board.told_until.unwrap_or(self.gateway.started + MEMBERS_WAIT);
+        (now < until).then(|| STARTUP_POLL_INTERVAL.min(until - now))
     }
 
     /// Returns the pause between changes and the next call.
-    fn group_pause(&self) -> Duration {
+    fn burst_pause(&self) -> Duration {
         match self.followed {
             Followed::Configuration => Duration::ZERO,
-            Followed::Upstreams => GROUP_PAUSE,
+            Followed::Upstreams => BURST_PAUSE,
         }
     }
 
@@ -117,71 +117,71 @@
         board.read_turn(&self.gateway.process, self.followed, clock::now())
     }
 
-    /// Waits for changes until the next turn, whatever becomes of the call.
-    async fn wait(self: &Rc<Self>, wait: Duration) {
+    /// Waits for changes until the next turn, which begins on time even if the call is unanswered.
+    async fn long_poll(self: &Rc<Self>, wait: Duration) {
         let next = clock::now() + wait;
         let call = spawn_local(self.clone().read(wait));
-        match clock::timeout_at(next + ANSWER_TIME, call).await {
-            Ok(Ok(Answered::Changed)) => sleep(self.group_pause()).await,
+        match clock::timeout_at(next + ANSWER_ALLOWANCE, call).await {
+            Ok(Ok(ReadOutcome::Changed)) => sleep(self.burst_pause()).await,
             Ok(_) => clock::sleep_until(next).await,
-            // Not answered in time: the next call begins on a connection of its own.
+            // Not answered in time: the next call uses a connection of its own.
             Err(_) => {}
         }
     }
 
-    /// Asks for what has changed.
-    async fn read(self: Rc<Self>, wait: Duration) -> Answered {
+    /// Reads the changes since the last known revision; the store waits up to `wait` for some.
+    async fn read(self: Rc<Self>, wait: Duration) -> ReadOutcome {
         let known = self.gateway.board.borrow().knowledge(self.followed);
         let after = self.known.get().max(known.map_or(0, |k| k.position));
         let began = clock::now();
         let fed = self.gateway.store.feed(self.table(), after, wait).await;
         note(&self.gateway, feed_name(self.followed), began, fed.as_ref().err());
         match fed {
-            Ok(feed) => self.take(feed),
+            Ok(feed) => self.apply(feed),
             Err(PlatformError::HistoryLost) => self.snapshot().await,
-            Err(_) => Answered::Failed,
+            Err(_) => ReadOutcome::Failed,
         }
     }
 
-    fn take(&self, feed: Feed) -> Answered {
+    fn apply(&self, feed: Feed) -> ReadOutcome {
         let changed = !feed.changes.is_empty();
-        self.note_clock(feed.as_of);
+        self.update_store_clock(feed.as_of);
         self.known.set(self.known.get().max(feed.revision));
-        self.hand_over_changes(feed);
-        if changed { Answered::Changed } else { Answered::Unchanged }
+        self.pass_on_changes(feed);
+        if changed { ReadOutcome::Changed } else { ReadOutcome::Unchanged }
     }
 
-    fn note_clock(&self, reading: StoreMillis) {
+    fn update_store_clock(&self, reading: StoreMillis) {
         self.gateway.board.borrow_mut().store_clock.note(reading, clock::now());
     }
 
-    /// Reads the whole table. A store that has lost its history may answer from an older
-    /// state than what is known; such an answer is of no use.
-    async fn snapshot(&self) -> Answered {
+    /// Reads the whole table. A store that has lost its history may return a state older than what
+    /// is known; such an answer is discarded.
+    async fn snapshot(&self) -> ReadOutcome {
         let began = clock::now();
         let read = self.gateway.store.snapshot(self.table()).await;
         note(&self.gateway, "snapshot", began, read.as_ref().err());
         match read {
             Ok(snapshot) if snapshot.revision >= self.known.get() => {
                 self.known.set(snapshot.revision);
-                self.note_clock(snapshot.as_of);
-                self.hand_over_all(snapshot);
-                Answered::Changed
+                self.update_store_clock(snapshot.as_of);
+                self.pass_on_snapshot(snapshot);
+                ReadOutcome::Changed
             }
-            Ok(_) | Err(_) => Answered::Failed,
+            Ok(_) | Err(_) => ReadOutcome::Failed,
         }
     }
 
-    fn hand_over_changes(&self, feed: Feed) {
+    fn pass_on_changes(&self, feed: Feed) {
         match self.followed {
-            Followed::Configuration => take_configuration_changes(&self.gateway, feed),
+            Followed::Configuration => apply_operator_changes(&self.gateway, feed),
             Followed::Upstreams => self.gateway.tell(|c| call!([c.directory], changes(feed))),
         }
     }
 
-    fn hand_over_all(&self, snapshot: Snapshot) {
+    fn pass_on_snapshot(&self, snapshot: Snapshot) {
         match self.followed {
-            Followed::Configuration => take_configuration(&self.gateway, snapshot),
+            Followed::Configuration => apply_operator_snapshot(&self.gateway, snapshot),
             Followed::Upstreams => {
                 self.gateway.tell(|c| call!([c.directory], snapshot(snapshot)));
             }
@@ -189,7 +189,7 @@
     }
 }
 
-/// Returns the name, for metrics and logs, of calls that wait for changes.
+/// Returns the name of reads of changes in metrics and logs.
 fn feed_name(followed: Followed) -> &'static str {
     match followed {
         Followed::Configuration => "feed_configuration",
@@ -197,27 +197,27 @@
     }
 }
 
-/// Asks the store once for what has changed.
+/// Reads the changes of a table once, without waiting.
 pub(super) async fn read_once(gateway: Rc<Gateway>, followed: Followed) {
     let reader = Rc::new(TableReader { gateway, followed, known: Cell::default() });
     reader.read(Duration::ZERO).await;
 }
 
-fn take_configuration(gateway: &Gateway, snapshot: Snapshot) {
+fn apply_operator_snapshot(gateway: &Gateway, snapshot: Snapshot) {
     let Snapshot { rows, revision, as_of } = snapshot;
     let ordered: BTreeSet<&str> = rows.iter().filter_map(|r| rollout_service(&r.key)).collect();
     let known: Vec<ServiceName> = gateway.board.borrow().rollouts.services().cloned().collect();
     for service in known.into_iter().filter(|s| !ordered.contains(s.as_str())) {
         gateway.tell(|c| call!([c.rollouts], withdrawn(service, revision)));
     }
-    take_rows(gateway, rows, Knowledge { position: revision, as_of });
+    apply_operator_rows(gateway, rows, Knowledge { position: revision, as_of });
 }
 
-fn take_configuration_changes(gateway: &Gateway, feed: Feed) {
+fn apply_operator_changes(gateway: &Gateway, feed: Feed) {
     let Feed { changes, revision, as_of } = feed;
     let written = changes.into_iter().filter_map(|change| match change {
         Change::Written(row) => Some(row),
-        // The operator removes no configuration.
+        // The row of the configuration is never removed, so only roll-outs are handled.
         Change::Removed(key, revision) => {
             if let Some(service) = rollout_service(&key).map(str::to_owned) {
                 gateway.tell(|c| call!([c.rollouts], withdrawn(service, revision)));
@@ -225,24 +225,29 @@
             None
         }
     });
-    take_rows(gateway, written, Knowledge { position: revision, as_of });
+    apply_operator_rows(gateway, written, Knowledge { position: revision, as_of });
 }
 
-/// Hands over the configuration and orders to roll out versions, and then up to where they
-/// are known.
-fn take_rows(gateway: &Gateway, rows: impl IntoIterator<Item = StoreRow>, known: Knowledge) {
+/// Passes the configuration and the orders of roll-outs to their controllers, and then the position
+/// up to which they are known.
+fn apply_operator_rows(
+    gateway: &Gateway,
+    rows: impl IntoIterator<Item = StoreRow>,
+    known: Knowledge,
+) {
     for row in rows {
         if row.key == CONFIGURATION_KEY {
             let document = row.value.into();
-            gateway.tell(|c| call!([c.configuration], take(document, Source::Store)));
+            gateway.tell(|c| call!([c.configuration], apply(document, Source::Store)));
         } else if rollout_service(&row.key).is_some() {
             gateway.tell(|c| call!([c.rollouts], ordered(row)));
         }
     }
-    gateway.tell(|c| call!([c.configuration], known(known)));
+    gateway.tell(|c| call!([c.configuration], advance_knowledge(known)));
 }
 
-/// Notes how a call that began at `began` ended.
+/// Records the outcome of a call to the store that began at `began`: counts it, logs a failure, and
+/// updates whether the store is available.
 pub(super) fn note(gateway: &Gateway, call: &str, began: Instant, error: Option<&PlatformError>) {
     let outcome = if error.is_some() { "failed" } else { "ok" };
     count(&gateway.metrics.platform_calls, &format!("{call}_{outcome}"));
--- a/src/gateway/controllers/source.rs
+++ b/src/gateway/controllers/source.rs
@@ -1,16 +1,16 @@
-//! Who told this process something of the store.
+//! Origin of information about the store.
 
-/// Where news of the store came from.
+/// Whom this process learnt the contents of the store from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// The platform's store.
+    /// From the store itself.
     Store,
-    /// Another gateway.
+    /// From another gateway, which read it or learnt it in turn.
     Peer,
 }
 
 impl Source {
-    /// Returns a word for logs.
+    /// Returns the name used in logs.
     pub(super) fn name(self) -> &'static str {
         match self {
             Self::Store => "store",
--- a/src/gateway/controllers/joining.rs
+++ b/src/gateway/controllers/startup.rs
@@ -1,4 +1,5 @@
-//! What a process reads and writes in the platform's store once, when it starts.
+//! What a process reads from and writes to the platform's store once, at startup: persisted state,
+//! and the membership of the gateways.
 
 use std::{net::SocketAddr, rc::Rc, time::Duration};
 
@@ -8,7 +9,7 @@
 
 use super::{
     duties::LEASE_KEY,
-    kept::{KEPT_KEY, QUARANTINE_KEY, restore},
+    kept::{QUARANTINE_KEY, STATE_KEY, restore},
     reading::note,
 };
 use crate::{
@@ -17,35 +18,37 @@
     platform::{PlatformError, RowWrite, StoreRow, Table},
 };
 
-/// Longest wait for the list of gateways.
-const MEMBERS_WAIT: Duration = Duration::from_secs(3);
+/// Timeout of reading the list of gateways.
+const MEMBERS_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Row by which gateways find each other.
+/// Row of one gateway in the members table, from which the others learn its address.
 #[derive(Debug, Serialize, Deserialize)]
 struct MemberRow {
     heartbeats: SocketAddr,
 }
 
-/// Takes over what earlier processes kept in the store. A process that cannot
-/// read it starts with empty quotas.
-pub async fn recall(gateway: Rc<Gateway>) {
+/// Restores the state that earlier processes persisted in the store. A process that cannot read it
+/// starts with empty quotas.
+pub async fn restore_state(gateway: Rc<Gateway>) {
     let began = clock::now();
     let read = gateway.store.snapshot(Table::Duties).await;
     note(&gateway, "recall", began, read.as_ref().err());
     let was_read = read.is_ok();
     for row in read.map(|s| s.rows).unwrap_or_default() {
         match row.key.as_str() {
-            KEPT_KEY => {
+            STATE_KEY => {
                 if let Err(e) = restore(&gateway, &row) {
-                    log::error!("what earlier processes kept is lost: {e}");
+                    log::error!(
+                        "persisted quotas, usage and engine orders cannot be restored: {e}"
+                    );
                 }
             }
-            LEASE_KEY => gateway.tell(|c| call!([c.duties], recalled(row))),
+            LEASE_KEY => gateway.tell(|c| call!([c.duties], row_restored(row))),
             QUARANTINE_KEY => gateway.tell(|c| call!([c.crashes], recalled(row))),
             _ => {}
         }
     }
-    // Otherwise another gateway is asked for the verdicts.
+    // If the read failed, the quarantine verdicts are fetched from another gateway instead.
     if was_read {
         gateway.tell(|c| call!([c.crashes], verdicts_known()));
     }
@@ -54,19 +57,20 @@
 fn member_address(row: &StoreRow) -> Option<SocketAddr> {
     let member: Result<MemberRow, _> = serde_json::from_slice(&row.value);
     if let Err(e) = &member {
-        log::warn!("the row of gateway {} names no address: {e}", row.key);
+        log::warn!("the member row of gateway {} cannot be decoded: {e}", row.key);
     }
     member.ok().map(|m| m.heartbeats)
 }
 
-/// Writes this process's address to the store and reads those of the others,
-/// until both have succeeded once.
-pub async fn announce(gateway: Rc<Gateway>) {
+/// Registers this process's address in the store, then reads the addresses of the other gateways.
+/// Retries each with backoff until it has succeeded once.
+pub async fn register_member(gateway: Rc<Gateway>) {
     let (host, heartbeats) = {
         let settings = gateway.settings.borrow();
         (settings.id.clone(), settings.listen.heartbeats)
     };
-    let value = serde_json::to_vec(&MemberRow { heartbeats }).expect("an address always encodes");
+    let value =
+        serde_json::to_vec(&MemberRow { heartbeats }).expect("an address always encodes as JSON");
     let row = RowWrite { table: Table::Members, key: host, value, expected: None };
     let mut backoff = Backoff::default();
     loop {
@@ -81,12 +85,12 @@
     backoff.answered();
     loop {
         let began = clock::now();
-        let read = timeout(MEMBERS_WAIT, gateway.store.snapshot(Table::Members)).await;
+        let read = timeout(MEMBERS_TIMEOUT, gateway.store.snapshot(Table::Members)).await;
         let read = read.unwrap_or(Err(PlatformError::Timeout));
         note(&gateway, "members", began, read.as_ref().err());
         if let Ok(snapshot) = read {
             let addresses = snapshot.rows.iter().filter_map(member_address).collect();
-            gateway.tell(|c| call!([c.peers], found(addresses)));
+            gateway.tell(|c| call!([c.peers], members_read(addresses)));
             return;
         }
         sleep(backoff.failed(fastrand::f64())).await;
--- a/src/gateway/controllers/usage_report.rs
+++ b/src/gateway/controllers/usage_report.rs
@@ -1,4 +1,4 @@
-//! One usage report: kept in the store first, then sent.
+//! Delivery of one usage report: the counts are stored first, then reported to the platform.
 
 use std::rc::Rc;
 
@@ -15,10 +15,10 @@
     telemetry::count,
 };
 
-/// Keeps the counts in the store, so that whoever sends them again sends the
-/// same, and sends them.
-pub(super) async fn report(gateway: Rc<Gateway>, window: Window, counts: Counts) {
-    let sent = match kept_counts(&gateway, window, counts).await {
+/// Stores the counts of a window and reports them. The stored counts make the report idempotent:
+/// any holder that sends it again sends the same numbers.
+pub(super) async fn send_usage_report(gateway: Rc<Gateway>, window: Window, counts: Counts) {
+    let sent = match store_counts(&gateway, window, counts).await {
         Ok(counts) => {
             let fence = || gateway.board.borrow().lease.may_act(clock::now());
             let total = counts.values().sum();
@@ -31,18 +31,18 @@
         Err(e) => Err(e),
     };
     count(&gateway.metrics.platform_calls, if sent.is_ok() { "usage" } else { "usage_failed" });
-    gateway.tell(|c| call!([c.duties], reported(window, sent.is_ok())));
+    gateway.tell(|c| call!([c.duties], report_completed(window, sent.is_ok())));
 }
 
-/// Returns the counts that the store keeps for a window: these, or those that
-/// a holder wrote before.
-async fn kept_counts(
+/// Stores the counts of a window unless the store already has some from an earlier attempt; returns
+/// the stored ones.
+async fn store_counts(
     gateway: &Gateway,
     window: Window,
     counts: Counts,
 ) -> Result<Counts, PlatformError> {
     let key = format!("usage-{window}");
-    let value = serde_json::to_vec(&counts).expect("texts and numbers always encode");
+    let value = serde_json::to_vec(&counts).expect("strings and integers always encode as JSON");
     let write = RowWrite { table: Table::Duties, key: key.clone(), value, expected: Some(0) };
     let outcome = gateway.store.write(&[write]).await;
     gateway.note_store(outcome.as_ref().err());
@@ -53,7 +53,7 @@
                 return Err(PlatformError::HistoryLost);
             };
             serde_json::from_slice(&row.value)
-                .map_err(|source| PlatformError::Malformed { what: "kept usage", source })
+                .map_err(|source| PlatformError::Malformed { what: "stored usage counts", source })
         }
     }
 }
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -1,4 +1,4 @@
-//! Start of the gateway.
+//! Startup, signal handling and datagram reception of the gateway process.
 
 use std::{io, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -14,7 +14,7 @@
 use super::{
     board::Board,
     context::Gateway,
-    controllers::{Controllers, announce, follow, recall},
+    controllers::{Controllers, follow_table, register_member, restore_state},
     decide::TrueClock,
     model::Followed,
     net::{Phase, serve},
@@ -25,32 +25,32 @@
 };
 use crate::{clock, settings::GatewaySettings, time::unix_millis};
 
-/// Largest heartbeat, in bytes.
-const DATAGRAM: usize = 64 << 10;
-/// Time for the last log lines before the process ends.
-const FLUSH: Duration = Duration::from_millis(20);
+/// Size of the receive buffer: no UDP datagram is larger.
+const MAX_DATAGRAM_BYTES: usize = 64 << 10;
+/// Time for writing the last log lines before the process exits.
+const LOG_FLUSH_TIME: Duration = Duration::from_millis(20);
 
-/// Why the process could not start.
+/// Error that prevents the process from starting.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// The runtime or a signal handler could not start.
-    #[error("runtime: {0}")]
+    #[error("cannot start the runtime or a signal handler: {0}")]
     Runtime(io::Error),
-    /// A socket could not be opened.
-    #[error("{address}: {source}")]
+    /// A socket could not be bound.
+    #[error("cannot bind {address}: {source}")]
     Socket {
-        /// Address.
+        /// Local address from the settings.
         address: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// Runs the process until it has left.
+/// Runs the gateway until its shutdown is complete.
 ///
 /// # Errors
 ///
-/// Fails if a socket cannot be opened.
+/// Fails if the runtime or a signal handler cannot be started, or a socket cannot be bound.
 pub fn run(settings: GatewaySettings) -> Result<(), StartError> {
     let runtime =
         Builder::new_current_thread().enable_all().build().map_err(StartError::Runtime)?;
@@ -58,7 +58,7 @@
 }
 
 async fn start(settings: GatewaySettings) -> Result<(), StartError> {
-    // First of all: until then a signal ends the process.
+    // Before anything else: without handlers, a signal kills the process at once.
     let signals = Signals::new()?;
     let listen = settings.listen;
     let socket = bind_udp(listen.heartbeats).await?;
@@ -84,10 +84,10 @@
     gateway.grants.set_socket(socket.clone());
     spawn_local(receive(gateway.clone(), socket));
     for followed in Followed::ALL {
-        spawn_local(follow(gateway.clone(), followed));
+        spawn_local(follow_table(gateway.clone(), followed));
     }
-    spawn_local(recall(gateway.clone()));
-    spawn_local(announce(gateway.clone()));
+    spawn_local(restore_state(gateway.clone()));
+    spawn_local(register_member(gateway.clone()));
     signals.spawn(&gateway);
     gateway.log(&Event::Started { version: env!("CARGO_PKG_VERSION") });
     reactor::drive(stakker, gateway.clone()).await;
@@ -95,7 +95,7 @@
         phase: Phase::Closing,
         in_progress: gateway.board.borrow().in_progress,
     });
-    tokio::time::sleep(FLUSH).await;
+    tokio::time::sleep(LOG_FLUSH_TIME).await;
     Ok(())
 }
 
@@ -108,33 +108,33 @@
     bound.map(Rc::new).map_err(|source| StartError::Socket { address, source })
 }
 
-/// Hands heartbeats to the controllers.
+/// Receives datagrams from other gateways and passes their contents to the controllers.
 async fn receive(gateway: Rc<Gateway>, socket: Rc<UdpSocket>) {
-    let mut buf = vec![0; DATAGRAM];
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let (len, from) = match socket.recv_from(&mut buf).await {
             Ok(received) => received,
             Err(e) => {
-                // An earlier datagram met nobody; the next one may come.
-                log::debug!("datagrams: {e}");
+                // Reports that an earlier datagram could not be delivered; reception goes on.
+                log::debug!("receiving a datagram failed: {e}");
                 continue;
             }
         };
         match Datagram::decode(&buf[..len]) {
-            Ok(Datagram::Heartbeats(beat, passed_on)) => gateway.tell(|c| {
-                call!([c.peers], hear(*beat));
-                for heartbeat in passed_on {
-                    call!([c.peers], overhear(heartbeat));
+            Ok(Datagram::Heartbeats(heartbeat, relayed)) => gateway.tell(|c| {
+                call!([c.peers], heartbeat_received(*heartbeat));
+                for heartbeat in relayed {
+                    call!([c.peers], relayed_heartbeat_received(heartbeat));
                 }
             }),
             Ok(Datagram::Crashes(notice)) => gateway.tell(|c| call!([c.crashes], hear(notice))),
             Ok(Datagram::Limit(question)) => gateway.hear_limit_question(question, from),
-            Err(e) => log::warn!("unreadable datagram from {from}: {e}"),
+            Err(e) => log::warn!("datagram from {from} cannot be decoded: {e}"),
         }
     }
 }
 
-/// Signals that the process handles.
+/// Signals that the process handles: SIGTERM and SIGINT shut it down, SIGHUP reloads the settings.
 struct Signals {
     stops: [Signal; 2],
     hangup: Signal,
@@ -154,7 +154,7 @@
             let gateway = gateway.clone();
             spawn_local(async move {
                 while stop.recv().await.is_some() {
-                    gateway.tell(|c| call!([c.leaving], leave()));
+                    gateway.tell(|c| call!([c.graceful_shutdown], begin()));
                 }
             });
         }
@@ -167,7 +167,8 @@
     }
 }
 
-/// Reads the settings again. Addresses stay as they are until the next start.
+/// Reloads the settings' bounds and capacity; other settings, such as addresses, apply from the
+/// next start. An invalid file changes nothing.
 fn reload(gateway: &Gateway) {
     let loaded = GatewaySettings::load(&gateway.settings.borrow().file);
     let usable = loaded.is_ok();
@@ -178,7 +179,7 @@
             gateway.board.borrow_mut().quotas.set_terms(settings.bounds.quotas);
             current.capacity = settings.capacity;
         }
-        Err(e) => log::error!("the settings stay as they were: {e}"),
+        Err(e) => log::error!("settings not reloaded, the earlier ones stay in force: {e}"),
     }
     gateway.log(&Event::Reloaded { usable });
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,7 +1,8 @@
-//! The gateway: the entry process on the users' platform.
+//! The gateway: the process on the users' platform that receives callers' requests and forwards
+//! them to upstreams.
 //!
-//! One thread runs a `tokio` runtime for sockets and a `stakker` instance for
-//! the controllers. Controllers and request tasks share the [`board`].
+//! A single thread runs a `tokio` runtime for sockets and request tasks, and a `stakker` instance
+//! for the controllers. Both share their state on the [`board`].
 
 pub mod board;
 pub mod controllers;
--- a/tests/suspended_hosts.rs
+++ b/tests/suspended_hosts.rs
@@ -1,6 +1,6 @@
-//! Hosts that are suspended: for so long the steady clock stands still, and timers with
-//! it; for everybody else the time goes on. No test can suspend its host without
-//! privileges, so both clocks are told to the code that compares them.
+//! Suspension of a host. The monotonic clock and its timers stop meanwhile, while time passes for
+//! all other hosts. Suspending a host takes privileges that tests lack, so they pass the readings
+//! of both clocks to the code that compares them.
 
 use std::{
     cell::Cell,
@@ -24,53 +24,53 @@
 }
 
 #[test]
-fn moments_go_on_during_a_suspension() {
+fn host_clock_advances_during_a_suspension() {
     let start = Instant::now();
     let host = HostClock::new(start, secs(1_000));
     assert_eq!(host.moment(secs(1_000)), start);
     assert_eq!(host.moment(secs(1_007)), start + secs(7));
-    assert_eq!(host.moment(secs(999)), start, "never before its first reading");
+    assert_eq!(host.moment(secs(999)), start, "never earlier than the first reading");
     assert!(clock::now() <= clock::now());
 }
 
 #[test]
-fn a_suspension_is_noticed_and_nothing_else_is_taken_for_one() {
+fn suspensions_are_detected_without_false_positives() {
     struct Case {
         name: &'static str,
-        /// Readings of the steady clock and of the host's, in milliseconds.
+        /// Readings of the monotonic clock and of the host clock, in milliseconds.
         readings: &'static [(u64, u64)],
-        noticed: &'static [u64],
+        detected: &'static [u64],
     }
     let cases = [
-        Case { name: "a first look", readings: &[(0, 9_000)], noticed: &[] },
-        Case { name: "time passes", readings: &[(0, 0), (150, 150)], noticed: &[] },
+        Case { name: "first reading", readings: &[(0, 9_000)], detected: &[] },
+        Case { name: "no suspension", readings: &[(0, 0), (150, 150)], detected: &[] },
         Case {
-            name: "a pause between two readings",
+            name: "process paused between the two readings",
             readings: &[(0, 0), (150, 170)],
-            noticed: &[],
+            detected: &[],
         },
-        Case { name: "suspended", readings: &[(0, 0), (150, 3_150)], noticed: &[3_000] },
+        Case { name: "one suspension", readings: &[(0, 0), (150, 3_150)], detected: &[3_000] },
         Case {
-            name: "twice",
+            name: "two suspensions",
             readings: &[(0, 0), (150, 3_150), (300, 3_300), (450, 8_450)],
-            noticed: &[3_000, 5_000],
+            detected: &[3_000, 5_000],
         },
     ];
     for case in cases {
         let start = Instant::now();
         let mut watch = SuspensionWatch::default();
         let at = |ms: u64| start + Duration::from_millis(ms);
-        let note = |(steady, host): &(u64, u64)| watch.note(at(*steady), at(*host));
-        let noticed: Vec<u64> =
+        let note = |(monotonic, host): &(u64, u64)| watch.note(at(*monotonic), at(*host));
+        let detected: Vec<u64> =
             case.readings.iter().filter_map(note).map(|d| d.as_millis() as u64).collect();
-        assert_eq!(noticed, case.noticed, "{}", case.name);
+        assert_eq!(detected, case.detected, "{}", case.name);
     }
 }
 
-/// A deadline that passed during a suspension is over when the host is resumed, not after
-/// what was left of it before.
+/// A deadline that passes during a suspension has expired when the host resumes; the sleeper does
+/// not wait for the time that was left before.
 #[test]
-fn sleepers_wake_when_the_host_is_resumed() {
+fn sleepers_wake_when_the_host_resumes() {
     run(async {
         let start = Instant::now();
         let suspended = Rc::new(Cell::new(Duration::ZERO));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_future_gets_the_time_that_it_is_given() {
+fn timeout_applies_only_to_futures_that_are_not_ready() {
     run(async {
         let soon = clock::now() + Duration::from_millis(20);
         assert!(timeout_at(soon, std::future::pending::<()>()).await.is_err());
@@ -96,10 +96,10 @@
     });
 }
 
-/// A holder that was suspended for longer than its lease acts no more, whatever its
-/// timers say.
+/// A lease holder that was suspended for longer than its lease must not act under it, even though
+/// its timers have not fired.
 #[test]
-fn a_lease_runs_out_during_a_suspension() {
+fn lease_expires_during_a_suspension() {
     let start = Instant::now();
     let host = HostClock::new(start, secs(50));
     let until = host.moment(secs(52));
