--- a/src/gateway/board/demand.rs
+++ b/src/gateway/board/demand.rs
@@ -1,4 +1,4 @@
-//! Load that callers bring to services, through this process and the others.
+//! Load that callers put on services, through this process and the others.
 
 use std::time::Instant;
 
@@ -10,30 +10,30 @@
 };
 
 impl Board {
-    /// Returns the meter of the load that this process's callers bring.
+    /// Returns the meter of the load from this process's callers on a service.
     pub fn load_meter(&mut self, service: &ServiceName, now: Instant) -> &mut LoadMeter {
         self.loads.entry(service.clone()).or_insert_with(|| LoadMeter::new(now))
     }
 
-    /// Returns whether callers have brought any load, as far as is known here.
+    /// Returns whether any gateway known here has received load from callers.
     pub fn has_had_load(&self) -> bool {
         let others = || self.peers.values().any(|p| !p.last.demand.is_empty());
         !self.loads.is_empty() || others()
     }
 
-    /// Returns the load that this process's callers bring, to be told to the others.
+    /// Returns the load from this process's callers, to be sent with heartbeats.
     pub fn own_demand(&self, now: Instant) -> Vec<Demand> {
         self.loads.iter().map(|(service, meter)| Demand::new(service, meter.load(now))).collect()
     }
 
-    /// Takes the mean over all processes of what a request costs.
+    /// Recomputes the average cost of a request to each service, over all processes.
     pub fn average_costs(&mut self, now: Instant) {
         let services = self.loads.keys();
         let costs = services.filter_map(|s| Some((s.clone(), mean_cost(self.demand(s, now))?)));
         self.costs = costs.collect();
     }
 
-    /// Returns the load that callers bring to a service through each process.
+    /// Returns the load of each process's callers on a service.
     fn demand<'a>(
         &'a self,
         service: &'a str,
@@ -44,12 +44,12 @@
         own.into_iter().chain(others.filter(move |d| d.service == service).map(Demand::load))
     }
 
-    /// Returns the requests a second that all callers bring to a service.
+    /// Returns the total request rate of a service over all processes, in requests per second.
     pub fn total_demand(&self, service: &str, now: Instant) -> f64 {
         self.demand(service, now).map(|load| load.rate).sum()
     }
 
-    /// Returns what the load of a service keeps busy, as far as is known.
+    /// Returns the resources that the load of a service keeps busy, as far as its cost is known.
     pub fn busy(&self, service: &str, speed: EngineSpeed, now: Instant) -> Busy {
         let cost = self.costs.get(service).copied().unwrap_or_default();
         busy(ServiceLoad { rate: self.total_demand(service, now), cost }, speed)
--- a/src/gateway/board/hold_off.rs
+++ b/src/gateway/board/hold_off.rs
@@ -1,4 +1,4 @@
-//! When upstreams that named limits or asked for rest take requests again.
+//! When upstreams that set a rate limit or asked for a pause may get requests again.
 
 use std::{
     net::SocketAddr,
@@ -9,20 +9,20 @@
 use crate::gateway::{decide::Holder, model::Lifetime};
 
 impl Board {
-    /// Returns how long it takes until this gateway may send a request to an upstream that
-    /// has named a rate limit or asked for rest; `None` if others have all of its limit.
+    /// Returns how long this gateway must wait before it may send a request to an upstream that
+    /// has set a rate limit or asked for a pause; `None` if other gateways hold the whole limit.
     pub fn hold_off(&self, upstream: Lifetime, now: Instant) -> Option<Duration> {
         let wait = self.limits.wait(upstream, now)?;
         Some(wait.max(self.rests.left(upstream, now)))
     }
 
-    /// Returns whether another gateway may have room in its part of an upstream's limit.
+    /// Returns whether another gateway may have capacity left in its share of an upstream's limit.
     pub fn may_ask(&self, upstream: Lifetime, now: Instant) -> bool {
         self.rests.left(upstream, now).is_zero() && self.holder_to_ask(upstream, now).is_some()
     }
 
-    /// Returns a gateway that may have room in its part of an upstream's limit, and where it
-    /// is asked.
+    /// Returns a gateway that may have capacity left in its share of an upstream's limit, with its
+    /// heartbeat address, to which it is asked.
     pub fn holder_to_ask(&self, upstream: Lifetime, now: Instant) -> Option<(Holder, SocketAddr)> {
         let address = |holder: Holder| {
             let peer = self.heard(now).find(|p| p.holder == holder)?;
@@ -31,8 +31,8 @@
         self.limits.holders_to_ask(upstream, now).find_map(address)
     }
 
-    /// Returns when an upstream of a service may get a request again, if all of them keep
-    /// this gateway from sending one now.
+    /// Returns the time until this gateway may send a request to an upstream of the service;
+    /// `None` if it may send one now, or if no upstream serves.
     pub fn hold_off_of(&self, service: &str, now: Instant) -> Option<Duration> {
         let serving: Vec<Lifetime> = self.serving(service).map(|v| v.lifetime).collect();
         let waits: Vec<Option<Duration>> =
@@ -40,13 +40,13 @@
         if serving.is_empty() || waits.contains(&Some(Duration::ZERO)) {
             return None;
         }
-        let of_others = serving.iter().filter_map(|upstream| {
+        let others_waits = serving.iter().filter_map(|upstream| {
             let wait = self.limits.wait_of_others(*upstream, now)?;
             Some(wait.max(self.rests.left(*upstream, now)))
         });
-        // Where nobody is known to have room, on average some gateway may send so soon.
+        // If no gateway is known to have capacity left, one may send after this time on average.
         let rate: f64 = serving.iter().filter_map(|upstream| self.limits.rate(*upstream)).sum();
-        let elsewhere = (rate > 0.0).then(|| Duration::from_secs_f64(1.0 / rate));
-        waits.into_iter().flatten().chain(of_others).min().or(elsewhere)
+        let mean_interval = (rate > 0.0).then(|| Duration::from_secs_f64(1.0 / rate));
+        waits.into_iter().flatten().chain(others_waits).min().or(mean_interval)
     }
 }
--- a/src/gateway/board/knowledge.rs
+++ b/src/gateway/board/knowledge.rs
@@ -1,4 +1,4 @@
-//! How old what this process knows is, and whether it is its turn to read the store.
+//! Age of what this process knows, and whether it is its turn to read the store.
 
 use std::time::{Duration, Instant};
 
@@ -10,7 +10,7 @@
 };
 
 impl Board {
-    /// Returns up to where something is known; `None` if the store was never read.
+    /// Returns up to where the store's contents are known; `None` if they were never read.
     pub fn knowledge(&self, followed: Followed) -> Option<Knowledge> {
         match followed {
             Followed::Configuration => self.configuration_knowledge,
@@ -18,18 +18,18 @@
         }
     }
 
-    /// Returns how old knowledge is: the time since any gateway last saw that the store has
+    /// Returns the age of the knowledge: the time since any gateway last saw that the store held
     /// nothing newer.
     pub fn age(&self, followed: Followed, now: Instant) -> Option<Duration> {
         self.store_clock.age(self.knowledge(followed)?.as_of, now)
     }
 
-    /// Returns whether there may be something newer that every gateway should know by now.
+    /// Returns whether the knowledge is so old that newer contents may have been missed.
     pub fn is_old(&self, followed: Followed, now: Instant) -> bool {
         self.age(followed, now).is_none_or(|age| age >= OLD)
     }
 
-    /// Returns what this process does now; `None` if it knows nothing and has to read all.
+    /// Returns whether and what this process reads now; `None` if it has to read everything first.
     pub fn read_turn(&self, process: &str, followed: Followed, now: Instant) -> Option<Turn> {
         let age = self.age(followed, now)?;
         let store_now = self.store_clock.now(now)?;
--- a/src/gateway/board/lease.rs
+++ b/src/gateway/board/lease.rs
@@ -1,50 +1,51 @@
-//! The lease on the duties as this process sees it.
+//! The lease on the singleton duties, as this process sees it.
 
 use std::time::{Duration, Instant};
 
 use crate::control::LeaseClaim;
 
-/// For how long after its end a lease is told of: until another holds it.
-const CLAIM_TOLD: Duration = Duration::from_secs(10);
+/// Time after a lease's expiry during which its claim is still sent to other gateways, so that
+/// they know of it until another process holds the lease.
+const CLAIM_RETENTION: Duration = Duration::from_secs(10);
 
-/// A lease that this process holds, or held last.
+/// The lease that this process holds, or held last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnLease {
-    /// Fencing number.
+    /// Fencing token.
     pub fence: u64,
-    /// Number of the renewal that it rests on.
+    /// Number of the renewal on which the lease rests.
     pub renewal: u64,
     /// When that renewal was sent.
     pub sent: Instant,
-    /// Until when this process may act.
+    /// Until when this process may act under the lease.
     pub until: Instant,
-    /// Whether this process has given it up.
+    /// Whether this process has given up the lease before its expiry.
     pub given_up: bool,
 }
 
-/// The lease on the duties as this process sees it.
+/// The lease on the singleton duties, as this process sees it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LeaseView {
-    /// The lease that this process holds, or held last.
+    /// The lease that this process holds, or held last; `None` if it never held it.
     pub own: Option<OwnLease>,
 }
 
 impl LeaseView {
-    /// Returns the fencing number with which this process may act at `now`.
+    /// Returns the fencing token with which this process may act at `now`; `None` if it may not.
     pub fn may_act(&self, now: Instant) -> Option<u64> {
         self.own.filter(|own| !own.given_up && now < own.until).map(|own| own.fence)
     }
 
-    /// Stops acting under the lease for good.
+    /// Stops acting under the lease; only a new lease allows that again.
     pub fn give_up(&mut self) {
         if let Some(own) = &mut self.own {
             own.given_up = true;
         }
     }
 
-    /// Returns what the others are told.
+    /// Returns the claim to be sent to other gateways; `None` once the lease is long expired.
     pub fn claim(&self, now: Instant) -> Option<LeaseClaim> {
-        let own = self.own.filter(|own| now < own.until + CLAIM_TOLD)?;
+        let own = self.own.filter(|own| now < own.until + CLAIM_RETENTION)?;
         Some(LeaseClaim {
             fence: own.fence,
             renewal: own.renewal,
--- a/src/gateway/board/leaving.rs
+++ b/src/gateway/board/leaving.rs
@@ -1,4 +1,5 @@
-//! Upstreams that said in their answers that they leave, whatever the store says of them.
+//! Upstreams that announced in their answers that they are leaving, whatever their rows in the
+//! store say.
 
 use std::time::{Duration, Instant};
 
@@ -10,8 +11,8 @@
 };
 
 impl Board {
-    /// Notes that an upstream has said since a moment that it leaves; returns whether that is
-    /// new.
+    /// Records that an upstream has announced, at `since`, that it is leaving; returns whether that
+    /// is new.
     pub fn note_leaving(&mut self, upstream: Lifetime, since: Instant, now: Instant) -> bool {
         let is_new = self.leaving.learn(upstream, since, now);
         let since = self.leaving.since(upstream);
@@ -23,12 +24,12 @@
         is_new
     }
 
-    /// Takes over what another gateway tells of upstreams that leave; returns those that are
-    /// new.
+    /// Merges another gateway's reports of leaving upstreams; returns the upstreams for which that
+    /// is new.
     pub fn hear_leaving(&mut self, process: &ProcessId, now: Instant) -> Vec<Lifetime> {
-        let told = self.peers.get(process).map(|p| p.last.leaving.clone()).unwrap_or_default();
+        let reports = self.peers.get(process).map(|p| p.last.leaving.clone()).unwrap_or_default();
         let mut new = Vec::new();
-        for LeavingReport(upstream, at) in told {
+        for LeavingReport(upstream, at) in reports {
             let age = Duration::from_millis(self.store_time(now).saturating_sub(at));
             let since = now.checked_sub(age).unwrap_or(now);
             if self.note_leaving(upstream, since, now) {
@@ -38,19 +39,18 @@
         new
     }
 
-    /// Returns what the other gateways are told: upstreams that leave and whose rows do not
-    /// say so.
+    /// Returns the leaving upstreams whose rows do not say so yet, to be sent with heartbeats.
     pub fn leaving_reports(&mut self, now: Instant) -> Vec<LeavingReport> {
         let (lifetimes, upstreams) = (&self.lifetimes, &self.upstreams);
-        let row_is_behind = |upstream| {
+        let row_is_outdated = |upstream| {
             let view = lifetimes.upstream(upstream).and_then(|id| upstreams.get(id));
             view.is_none_or(|v| v.upstream.phase == UpstreamPhase::Ready)
         };
-        let said = self.leaving.to_tell(row_is_behind, now);
+        let announced = self.leaving.to_tell(row_is_outdated, now);
         let report = |(upstream, since): (Lifetime, Instant)| {
             let age = now.saturating_duration_since(since).as_millis() as u64;
             LeavingReport(upstream, self.store_time(now).saturating_sub(age))
         };
-        said.into_iter().map(report).collect()
+        announced.into_iter().map(report).collect()
     }
 }
--- a/src/gateway/board/lifetimes.rs
+++ b/src/gateway/board/lifetimes.rs
@@ -1,4 +1,4 @@
-//! Which lifetime of each upstream is the newest, for requests that wait for one.
+//! The newest lifetime of each upstream, for requests that wait for a restart.
 
 use std::collections::HashMap;
 
@@ -6,9 +6,9 @@
 
 use crate::{gateway::model::Lifetime, ids::UpstreamId};
 
-/// The newest lifetime of each upstream. It outlives the upstream's row: one that
-/// crashed behind a cut may lose its row before it starts again, and only the new
-/// lifetime shows that the requests of the old one will never be answered.
+/// The newest lifetime of each upstream. Entries outlive the upstream's row: an upstream that
+/// crashes behind a network partition may lose its row before it restarts, and only the new
+/// lifetime shows that requests of the old one will never be answered.
 #[derive(Debug, Default)]
 pub struct Lifetimes {
     newest: HashMap<UpstreamId, Sender<Lifetime>>,
@@ -16,8 +16,7 @@
 }
 
 impl Lifetimes {
-    /// Notes the newest lifetime of an upstream, and tells those that wait for an
-    /// earlier one.
+    /// Records the newest lifetime of an upstream and notifies requests that wait for it.
     pub fn note(&mut self, id: &UpstreamId, lifetime: Lifetime) {
         self.ids.entry(lifetime).or_insert_with(|| id.clone());
         match self.newest.get(id) {
@@ -28,18 +27,18 @@
         }
     }
 
-    /// Returns the upstream whose newest lifetime this is.
+    /// Returns the upstream whose newest lifetime is the given one.
     pub fn upstream(&self, lifetime: Lifetime) -> Option<&UpstreamId> {
         let id = self.ids.get(&lifetime)?;
         self.newest.get(id).filter(|newest| *newest.borrow() == lifetime).map(|_| id)
     }
 
-    /// Returns what tells of each newer lifetime of an upstream that is known.
+    /// Returns a receiver of an upstream's newest lifetime; `None` if the upstream is unknown.
     pub fn follow(&self, id: &UpstreamId) -> Option<Receiver<Lifetime>> {
         self.newest.get(id).map(Sender::subscribe)
     }
 
-    /// Forgets upstreams that are not `known`, and that no request waits for.
+    /// Drops upstreams that are not `known` and that no request waits for.
     pub fn retain(&mut self, known: impl Fn(&UpstreamId) -> bool) {
         self.newest.retain(|id, newest| known(id) || newest.receiver_count() > 0);
         let newest = &self.newest;
--- a/src/gateway/board/limits.rs
+++ b/src/gateway/board/limits.rs
@@ -1,4 +1,4 @@
-//! Rate limits of upstreams: where a request may go, and when.
+//! Division of upstreams' rate limits among the gateways.
 
 use std::time::Instant;
 
@@ -10,13 +10,13 @@
     peering::ProcessId,
 };
 
-/// Share of the gateways announced in the store that must be known before this one takes a
-/// part in limits: one that knows few of them would take the parts of others.
-const KNOWN_SHARE: f64 = 0.75;
+/// Share of the gateways announced in the store that must be known before this one takes a share
+/// of limits: one that knows only a few gateways would take the shares of others.
+const MIN_KNOWN_SHARE: f64 = 0.75;
 
 impl Board {
-    /// Divides the rate limits of upstreams among the gateways that are known. `own` is this
-    /// one's host. One that leaves has no part, unless it is alone.
+    /// Divides the rate limits of upstreams among the known gateways. `own` is the name of this
+    /// gateway's host. A gateway that is leaving gets no share, unless it is the only one.
     pub fn divide_limits(&mut self, own: &str, leaving: bool, now: Instant) {
         if self.limits.limited() == 0 {
             return;
@@ -29,23 +29,22 @@
         self.limits.divide(members, now);
     }
 
-    /// Returns whether this process has heard most of the gateways that there were when it
-    /// started, or has had the time to hear all that still serve.
+    /// Returns whether this process has heard from most of the gateways that were announced at its
+    /// start, or has run for long enough to hear from all that still serve.
     fn knows_most_gateways(&self, now: Instant) -> bool {
         let known = 1 + self.peers.len();
         let young = now.saturating_duration_since(self.started) < PEER_FORGOTTEN;
-        !young || known as f64 >= self.announced as f64 * KNOWN_SHARE
+        !young || known as f64 >= self.announced as f64 * MIN_KNOWN_SHARE
     }
 
-    /// Takes over what another gateway tells of the limits of upstreams; returns those that
-    /// this changes.
+    /// Merges another gateway's reports of upstreams' limits; returns the limits that changed.
     pub fn hear_limits(
         &mut self,
         process: &ProcessId,
         now: Instant,
     ) -> Vec<(Lifetime, LimitNotice)> {
-        let told = self.peers.get(process).map(|p| p.last.limits.clone()).unwrap_or_default();
-        let changes = told.into_iter().filter(|r| self.limits.learn(r.0, r.1, now));
+        let reports = self.peers.get(process).map(|p| p.last.limits.clone()).unwrap_or_default();
+        let changes = reports.into_iter().filter(|r| self.limits.learn(r.0, r.1, now));
         changes.map(|r| (r.0, r.1)).collect()
     }
 }
--- a/src/gateway/board/loads.rs
+++ b/src/gateway/board/loads.rs
@@ -1,27 +1,27 @@
-//! Load that the other processes put on upstreams.
+//! Load that other processes put on upstreams.
 
 use std::collections::HashMap;
 
 use super::Load;
 use crate::gateway::{model::Lifetime, peering::LoadReport};
 
-/// Sums of the load that the other processes put on upstreams, by lifetime: what
-/// they say of an earlier lifetime is not load on the present one.
+/// Sums of the load that other processes put on upstreams, by lifetime: load reported for an
+/// earlier lifetime is not load on the present one.
 ///
-/// The sums follow each report, so that hearing one costs the same whatever the number
-/// of processes.
+/// Each report updates the sums in place, so that its cost does not depend on the number of
+/// processes.
 #[derive(Clone, Debug, Default)]
-pub struct OthersLoad {
+pub struct PeerLoads {
     sums: HashMap<Lifetime, Load>,
 }
 
-impl OthersLoad {
-    /// Returns the load on an upstream.
+impl PeerLoads {
+    /// Returns the load on an upstream in the given lifetime.
     pub fn on(&self, lifetime: Lifetime) -> Load {
         self.sums.get(&lifetime).copied().unwrap_or_default()
     }
 
-    /// Adds what a process reports.
+    /// Adds the load that a process reports.
     pub fn add(&mut self, reports: &[LoadReport]) {
         for LoadReport(lifetime, running, pending) in reports {
             let sum = self.sums.entry(*lifetime).or_default();
@@ -30,8 +30,8 @@
         }
     }
 
-    /// Takes off what a process reported before.
-    pub fn take_off(&mut self, reports: &[LoadReport]) {
+    /// Subtracts the load that a process reported before.
+    pub fn subtract(&mut self, reports: &[LoadReport]) {
         for LoadReport(lifetime, running, pending) in reports {
             let Some(sum) = self.sums.get_mut(lifetime) else {
                 continue;
--- a/src/gateway/board/mod.rs
+++ b/src/gateway/board/mod.rs
@@ -1,5 +1,5 @@
-//! The blackboard: what this process believes. Controllers write it, request
-//! tasks read it, all on one thread.
+//! The blackboard: shared in-memory state of this gateway process. Controllers write it and
+//! request tasks read it, all on one thread.
 
 mod demand;
 mod hold_off;
@@ -39,7 +39,7 @@
 use crate::ids::{DataCentre, UpstreamId};
 
 use lifetimes::Lifetimes;
-use loads::OthersLoad;
+use loads::PeerLoads;
 use outcomes::SharedOutcomes;
 use removals::Removals;
 
@@ -49,106 +49,106 @@
 pub use store::StoreState;
 pub use upstream::{Described, Load, MissingRow, UpstreamView};
 
-/// Between heartbeats: load that is older misleads the choice of engines.
+/// Interval between heartbeats. Load figures that are older lead to bad choices of engines.
 pub const HEARTBEAT_PERIOD: Duration = Duration::from_millis(150);
-/// Gateways that hear of each heartbeat within a period or two, directly or as it is passed
-/// on. With more, each hears of every few, and the cost of a process does not grow with
-/// their number.
+/// Number of gateways that each heartbeat reaches within one or two periods, directly or relayed.
+/// In a larger fleet a gateway receives only every few heartbeats of each other gateway, so that
+/// the cost of a process does not grow with the number of gateways.
 pub const HEARD_A_PERIOD: usize = 24;
-/// Silence after which a gateway is taken not to serve any more. Until then it
-/// counts as one that may be cut off and use its part of quotas.
+/// Silence after which a gateway is assumed to have stopped serving. Until then it may only be
+/// partitioned from this one and still use its share of quotas.
 pub const PEER_FORGOTTEN: Duration = Duration::from_secs(12);
 
-/// Longest wait for the requests that crash upstreams before any is sent. The store tells
-/// them within some ten milliseconds, another gateway within two heartbeats; where neither
+/// Longest time for which requests wait after the start until the crash verdicts are known. The
+/// store delivers them within some 10 ms, another gateway within two heartbeats; if neither
 /// answers, there is no configuration to serve with either.
-const RECALL_WAIT: Duration = Duration::from_secs(2);
+const CRASH_VERDICTS_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What this process believes.
+/// State of this gateway process, and what it knows of the rest of the fleet.
 #[derive(Debug)]
 pub struct Board {
-    /// The configuration in force.
+    /// The configuration in force; `None` until one is loaded.
     pub configuration: Option<Rc<Configuration>>,
-    /// The document that it was read from, for other gateways.
+    /// The encoded document from which the configuration was read, served to other gateways.
     pub document: Bytes,
-    /// Up to where the configuration is known; `None` if the store was never read.
+    /// Revision and time up to which the configuration is known; `None` if it was never read.
     pub configuration_knowledge: Option<Knowledge>,
-    /// The store's clock.
+    /// Estimate of the store's clock.
     pub store_clock: StoreClock,
-    /// Upstreams by id.
+    /// Known upstreams by id.
     pub upstreams: BTreeMap<UpstreamId, UpstreamView>,
-    /// Up to where the upstreams are known; `None` if they were never read.
+    /// Revision and time up to which the upstreams are known; `None` if they were never read.
     pub upstreams_knowledge: Option<Knowledge>,
-    /// When the list of upstreams was read again, by the store's clock, after a time in which
-    /// nobody read it; `None` if there was none.
-    pub upstreams_read_again: Option<StoreMillis>,
-    /// Revision of the newest change of an upstream that is known. Another
-    /// gateway that knows a change beyond our position is ahead of us.
+    /// Store time at which the list of upstreams was read again after no gateway had read it for
+    /// longer than usual; `None` if that has not happened.
+    pub upstreams_reread_at: Option<StoreMillis>,
+    /// Revision of the newest known change of an upstream. A gateway that reports a change beyond
+    /// this process's position knows more than this process.
     pub upstreams_last_change: Revision,
-    /// Upstreams that are gone, for gateways that ask what has changed.
+    /// Recently removed upstreams, for snapshots that contain only changes.
     pub removals: Removals,
-    /// Changes of late, for other gateways.
+    /// Recent changes of upstreams, sent with heartbeats.
     pub recent_changes: RecentChanges,
-    /// Other gateways.
+    /// Other gateway processes, as last heard from.
     pub peers: BTreeMap<ProcessId, PeerView>,
-    /// Hosts that had announced themselves in the store when this one started.
+    /// Number of hosts that were announced in the store when this process started.
     pub announced: usize,
-    /// Until when this process waits for others to tell it the upstreams; `None` while it is
-    /// not known how many others there are.
+    /// Until when this process waits for other gateways to send it the upstreams; `None` while the
+    /// number of other gateways is unknown.
     pub told_until: Option<Instant>,
-    /// Which engines hold which prompt prefixes.
+    /// Estimate of which engines hold which prompt prefixes in their caches.
     pub cache: CacheBelief,
-    /// Prefixes sent since the last heartbeat.
+    /// Prefixes sent to engines since the last heartbeat.
     pub sent_prefixes: Vec<PrefixReport>,
-    /// Quotas of customers.
+    /// Token quotas of customers.
     pub quotas: QuotaBook,
-    /// Upstreams that said in their answers that they leave.
+    /// Upstreams that announced in their answers that they are leaving.
     pub leaving: LeavingBook,
-    /// Rate limits that upstreams name.
+    /// Rate limits announced by upstreams.
     pub limits: LimitBook,
-    /// Upstreams that asked this process for rest.
+    /// Upstreams that asked this process to pause requests.
     pub rests: RestBook,
-    /// Roll-outs of versions.
+    /// Roll-outs of new upstream versions.
     pub rollouts: RolloutBook,
-    /// Budget of second attempts.
+    /// Retry budget.
     pub retries: RetryBook,
-    /// Requests that crash upstreams.
+    /// Requests that crash upstreams, and the evidence for it.
     pub crashes: CrashBook,
-    /// Whether this process may try requests that are quarantined.
+    /// Whether this process may run trials of quarantined requests.
     pub trial_turn: TrialTurn,
-    /// Runs that broke off at upstreams that may have ended.
+    /// Attempts that broke off at upstreams that may have crashed.
     pub breaks: Breaks,
-    /// Whether the store or another gateway has told which requests crash upstreams.
+    /// Whether the store or another gateway has delivered the crash verdicts.
     pub verdicts_known: bool,
-    /// Usage by window.
+    /// Usage counts by time window.
     pub usage: UsageBook,
-    /// Need and orders of engines as the holder of the lease tells them.
+    /// Demand for engines and orders of engines, as reported by the lease holder.
     pub capacity: CapacityRecord,
-    /// Need of engines that an earlier holder left in the store.
+    /// Demand for engines that an earlier lease holder left in the store, by service.
     pub kept_needs: BTreeMap<ServiceName, f64>,
-    /// True time.
+    /// Estimate of the true time of day.
     pub clock: TrueClock,
-    /// Lease on the duties.
+    /// The lease on the singleton duties, as this process sees it.
     pub lease: LeaseView,
     /// Whether the store answers this process.
     pub store: StoreState,
-    /// Whether the store has answered this process all along.
+    /// Whether the store has answered this process without interruption.
     pub steadiness: Steadiness,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub in_progress: usize,
-    /// Newest lifetimes of upstreams.
+    /// Newest lifetime of each upstream.
     lifetimes: Lifetimes,
-    others_load: OthersLoad,
+    others_load: PeerLoads,
     shared_outcomes: SharedOutcomes,
     loads: BTreeMap<ServiceName, LoadMeter>,
-    /// What a request to each service costs on average, over all processes.
+    /// Average cost of a request to each service, over all processes.
     costs: BTreeMap<ServiceName, RequestCost>,
     speeds: BTreeMap<ServiceName, SpeedModel>,
     started: Instant,
 }
 
 impl Board {
-    /// Creates a board that knows nothing.
+    /// Creates a board without any knowledge.
     pub fn new(clock: TrueClock, now: Instant) -> Self {
         Self {
             configuration: None,
@@ -157,7 +157,7 @@
             store_clock: StoreClock::default(),
             upstreams: BTreeMap::new(),
             upstreams_knowledge: None,
-            upstreams_read_again: None,
+            upstreams_reread_at: None,
             upstreams_last_change: 0,
             removals: Removals::default(),
             recent_changes: RecentChanges::default(),
@@ -185,7 +185,7 @@
             steadiness: Steadiness::default(),
             in_progress: 0,
             lifetimes: Lifetimes::default(),
-            others_load: OthersLoad::default(),
+            others_load: PeerLoads::default(),
             shared_outcomes: SharedOutcomes::default(),
             loads: BTreeMap::new(),
             costs: BTreeMap::new(),
@@ -194,29 +194,29 @@
         }
     }
 
-    /// Returns the version of the configuration in force; 0 for none.
+    /// Returns the version of the configuration in force; 0 if there is none.
     pub fn configuration_version(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |c| c.version)
     }
 
-    /// Returns the revision of the store up to which all changes of upstreams are known.
+    /// Returns the store revision up to which all changes of upstreams are known.
     pub fn upstreams_position(&self) -> Revision {
         self.upstreams_knowledge.map_or(0, |k| k.position)
     }
 
-    /// Returns whether this process may send requests: it knows those that crash
-    /// upstreams, or has waited for long enough to learn of them.
+    /// Returns whether this process may send requests: the crash verdicts are known, or the wait
+    /// for them has timed out.
     pub fn knows_crashes(&self, now: Instant) -> bool {
-        self.verdicts_known || now.saturating_duration_since(self.started) >= RECALL_WAIT
+        self.verdicts_known || now.saturating_duration_since(self.started) >= CRASH_VERDICTS_TIMEOUT
     }
 
-    /// Returns when the list of upstreams was last known to be the newest.
+    /// Returns when the list of upstreams was last known to be up to date.
     fn upstreams_seen(&self, now: Instant) -> Instant {
         let age = self.age(Followed::Upstreams, now).unwrap_or_default();
         now.checked_sub(age).unwrap_or(now)
     }
 
-    /// Returns the upstreams of a service that take new work.
+    /// Returns the upstreams of a service that take new requests.
     pub fn serving<'a>(
         &'a self,
         service: &'a str,
@@ -224,7 +224,7 @@
         self.of_service(service).filter(|v| v.takes_work())
     }
 
-    /// Returns the upstreams of a service.
+    /// Returns all known upstreams of a service.
     pub fn of_service<'a>(
         &'a self,
         service: &'a str,
@@ -232,12 +232,12 @@
         self.upstreams.values().filter(move |v| v.upstream.service == service)
     }
 
-    /// Returns what has changed among the upstreams after a revision, or all of them if that
-    /// is not known any more.
+    /// Returns the upstreams that changed after a revision, or all upstreams if the removals since
+    /// then are no longer remembered.
     pub fn upstream_snapshot(&self, after: Revision) -> UpstreamSnapshot {
         let mut gone = self.removals.after(after).filter(|_| after > 0);
         if let Some(gone) = &mut gone {
-            // Some are back.
+            // Some have been added again since.
             gone.retain(|id| !self.upstreams.contains_key(id));
         }
         let after = if gone.is_some() { after } else { 0 };
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Takes over what an upstream says of itself, as written at a revision.
+    /// Applies an upstream's description of itself that was written at a store revision.
     pub fn describe_at(
         &mut self,
         upstream: Upstream,
@@ -268,7 +268,7 @@
         described
     }
 
-    /// Takes over what an upstream says of itself.
+    /// Applies an upstream's description of itself.
     pub fn describe(&mut self, upstream: Upstream, now: Instant) -> Described {
         let id = upstream.id.clone();
         let seen = self.upstreams_seen(now);
@@ -288,7 +288,7 @@
         described
     }
 
-    /// Returns an upstream, if it is still in the lifetime that is meant.
+    /// Returns an upstream if it is still in the given lifetime.
     pub fn in_lifetime(
         &mut self,
         id: &UpstreamId,
@@ -297,31 +297,31 @@
         self.upstreams.get_mut(id).filter(|v| v.lifetime == lifetime)
     }
 
-    /// Returns whether a request may go out to an upstream that was chosen in the lifetime
-    /// that is meant: it may have begun to leave since, while a connection was opened.
+    /// Returns whether a request may still be sent to an upstream that was chosen in the given
+    /// lifetime. The upstream may have started to drain while the connection was being opened.
     pub fn may_be_sent_to(&self, id: &UpstreamId, lifetime: Lifetime, now: Instant) -> bool {
         let view = self.upstreams.get(id).filter(|v| v.lifetime == lifetime);
         view.is_some_and(|v| v.takes_work() || v.is_last_resort(now))
     }
 
-    /// Returns the name of an upstream in one lifetime; empty if it is not known.
+    /// Returns the id of the upstream with the given lifetime; empty if it is unknown.
     pub fn upstream_name(&self, lifetime: Lifetime) -> &str {
         self.lifetimes.upstream(lifetime).map_or("", |id| id)
     }
 
-    /// Returns how many tokens the cache of an engine holds; `None` for one that is
-    /// not known, or not in this lifetime.
+    /// Returns the capacity of an engine's cache in tokens; `None` if the engine is unknown or has
+    /// restarted since the given lifetime.
     pub fn cache_tokens(&self, cfg: &Configuration, lifetime: Lifetime) -> Option<u64> {
         let view = self.upstreams.get(self.lifetimes.upstream(lifetime)?)?;
         cfg.services.get(&view.upstream.service)?.engine.map(|e| e.cache_tokens)
     }
 
-    /// Returns what tells of each newer lifetime of an upstream.
+    /// Returns a receiver of the upstream's newest lifetime; `None` if the upstream is unknown.
     pub fn follow_lifetime(&self, id: &UpstreamId) -> Option<Receiver<Lifetime>> {
         self.lifetimes.follow(id)
     }
 
-    /// Forgets what belongs to upstreams that are gone and to earlier lifetimes.
+    /// Drops state that belongs to removed upstreams and to earlier lifetimes.
     pub fn forget_lifetimes(&mut self, now: Instant) {
         let known: HashSet<Lifetime> = self.upstreams.values().map(|v| v.lifetime).collect();
         self.cache.retain(|lifetime| known.contains(&lifetime));
@@ -331,13 +331,13 @@
         self.lifetimes.retain(|id| self.upstreams.contains_key(id));
     }
 
-    /// Returns the load that the other processes put on an upstream, as last heard.
+    /// Returns the load that other processes put on an upstream, as last reported.
     pub fn others_load(&self, view: &UpstreamView) -> Load {
         self.others_load.on(view.lifetime)
     }
 
-    /// Describes an upstream as a candidate for a request that would have to
-    /// read `missing_tokens` there.
+    /// Builds the routing candidate for an upstream; `missing_tokens` is the number of prompt
+    /// tokens that it would have to compute for the request.
     pub fn candidate(
         &self,
         view: &UpstreamView,
@@ -359,7 +359,7 @@
         }
     }
 
-    /// Returns how fast the upstreams of a service are, as far as is known.
+    /// Returns the learnt speed of a service's upstreams, or defaults where nothing is learnt.
     pub fn speed(&self, service: &str, off: &SwitchedOff) -> EngineSpeed {
         if !off.is_on(Mechanism::LearntSpeed) {
             return EngineSpeed::default();
@@ -369,23 +369,23 @@
         speed
     }
 
-    /// Returns what learns how fast the upstreams of a service are.
+    /// Returns the model that learns the speed of a service's upstreams.
     pub fn speed_model(&mut self, service: &ServiceName) -> &mut SpeedModel {
         self.speeds.entry(service.clone()).or_default()
     }
 
-    /// Returns what this process has learnt of the speed of upstreams.
+    /// Returns the speeds that this process has learnt, to be sent with heartbeats.
     pub fn own_speeds(&self) -> Vec<SpeedReport> {
         let speeds = self.speeds.iter();
         speeds.map(|(service, model)| SpeedReport::new(service, model)).collect()
     }
 
-    /// Returns how many requests an upstream of the service runs at once.
+    /// Returns the largest number of requests that an upstream of the service runs at once.
     pub fn slots(&self, service: &str) -> u32 {
         self.of_service(service).map(|v| v.upstream.slots).max().unwrap_or(1)
     }
 
-    /// Returns the load that this process puts on upstreams.
+    /// Returns the load that this process puts on upstreams, to be sent with heartbeats.
     pub fn own_loads(&self) -> Vec<LoadReport> {
         let loaded = self.upstreams.values().filter(|v| v.own != Load::default());
         loaded.map(|v| LoadReport(v.lifetime, v.own.running, v.own.pending_tokens)).collect()
--- a/src/gateway/board/outcomes.rs
+++ b/src/gateway/board/outcomes.rs
@@ -1,4 +1,4 @@
-//! How often upstreams fail, as all gateways together see it.
+//! Failure rates of upstreams over all gateways.
 
 use std::{collections::HashMap, time::Instant};
 
@@ -9,7 +9,8 @@
     peering::OutcomeReport,
 };
 
-/// What the other processes see, and what all see of each service, as of the last heartbeat.
+/// Outcomes by upstream as seen by other processes, and by service as seen by all, as of the
+/// last heartbeat.
 #[derive(Clone, Debug, Default)]
 pub struct SharedOutcomes {
     others: HashMap<Lifetime, Outcomes>,
@@ -17,13 +18,13 @@
 }
 
 impl Board {
-    /// Returns what this process has seen of upstreams of late, to be told to the others.
+    /// Returns the recent outcomes that this process has seen, to be sent with heartbeats.
     pub fn own_outcomes(&self, now: Instant) -> Vec<OutcomeReport> {
         let seen = self.upstreams.values().map(|v| (v.lifetime, v.outcomes.read(now)));
         seen.filter_map(|(lifetime, outcomes)| OutcomeReport::new(lifetime, outcomes)).collect()
     }
 
-    /// Adds up what the other processes tell of upstreams.
+    /// Recomputes the sums of the outcomes that all processes report.
     pub fn add_up_outcomes(&mut self, now: Instant) {
         let mut others: HashMap<Lifetime, Outcomes> = HashMap::new();
         for peer in self.heard(now) {
@@ -41,7 +42,7 @@
         self.shared_outcomes = SharedOutcomes { others, services };
     }
 
-    /// Returns how many failures are to be expected at an upstream before a success.
+    /// Returns the expected number of failures before a success at an upstream.
     pub fn expected_failures(&self, view: &UpstreamView, now: Instant) -> f64 {
         let SharedOutcomes { others, services } = &self.shared_outcomes;
         let mut seen = view.outcomes.read(now);
--- a/src/gateway/board/peers.rs
+++ b/src/gateway/board/peers.rs
@@ -1,4 +1,4 @@
-//! The other gateways as this process hears them.
+//! Other gateway processes, as known from their heartbeats.
 
 use std::{
     cmp::Reverse,
@@ -15,58 +15,57 @@
     ids::DataCentre,
 };
 
-/// Silence after which a gateway is no longer named to callers: five
-/// heartbeats, so that a few lost datagrams change nothing.
-const SHORTEST_SILENCE: Duration = Duration::from_millis(800);
-/// The same where each gateway is heard less often, in mean intervals.
-const SILENT_INTERVALS: f64 = 4.0;
-/// Time after the start in which the hosts that have announced themselves in
-/// the store count as serving, whether they were heard or not: with some
-/// hundred of them, a few heartbeats pass until most are.
-const ANNOUNCED_COUNT: Duration = Duration::from_secs(3);
+/// Minimum silence after which a gateway is no longer listed to callers. It spans five
+/// heartbeats, so that a few lost datagrams have no effect.
+const MIN_PEER_SILENCE: Duration = Duration::from_millis(800);
+/// The same in mean intervals between heartbeats, for fleets in which those are longer.
+const PEER_SILENCE_INTERVALS: f64 = 4.0;
+/// Time after the start during which the hosts announced in the store count as serving, whether
+/// heard from or not: in a fleet of some hundred, it takes a few heartbeats to hear from most.
+const ANNOUNCED_GRACE_PERIOD: Duration = Duration::from_secs(3);
 
-/// Heartbeats of others that go along with one period's heartbeats at most.
-const MOST_PASSED_ON: usize = 30;
+/// Maximum number of other gateways' heartbeats relayed in one period.
+const MAX_RELAYED: usize = 30;
 
-/// Another gateway as last heard.
+/// Another gateway process, as last heard from.
 #[derive(Clone, Debug)]
 pub struct PeerView {
-    /// What it last told.
+    /// Its latest heartbeat.
     pub last: Heartbeat,
-    /// When; for what was passed on, when it was sent.
+    /// When its latest heartbeat arrived; for a relayed one, when it was sent.
     pub heard: Instant,
-    /// Its name where limits are divided.
+    /// Its identity in the division of rate limits.
     pub holder: Holder,
-    /// Whether its load is part of the sums.
-    counted: bool,
-    /// How often that was passed on.
-    passed_on: u32,
+    /// Whether its load is included in the sums of others' load.
+    load_counted: bool,
+    /// How often this process has relayed the latest heartbeat.
+    times_relayed: u32,
 }
 
 impl Board {
     /// Returns the silence after which a gateway counts as gone.
     pub fn peer_silence(&self) -> Duration {
-        let beats = self.peers.len() as f64 / HEARD_A_PERIOD as f64;
-        HEARTBEAT_PERIOD.mul_f64(beats * SILENT_INTERVALS).max(SHORTEST_SILENCE)
+        let periods = self.peers.len() as f64 / HEARD_A_PERIOD as f64;
+        HEARTBEAT_PERIOD.mul_f64(periods * PEER_SILENCE_INTERVALS).max(MIN_PEER_SILENCE)
     }
 
-    /// Returns the gateways that were heard of late.
+    /// Returns the gateways heard from within the allowed silence.
     pub fn heard(&self, now: Instant) -> impl Iterator<Item = &PeerView> {
         let silence = self.peer_silence();
         let recent = move |p: &&PeerView| now.saturating_duration_since(p.heard) < silence;
         self.peers.values().filter(recent)
     }
 
-    /// Returns which part of quotas this process may count on.
+    /// Returns the figures that determine this process's share of quotas.
     pub fn quota_share(&self, now: Instant) -> QuotaShare {
         let heard = 1 + self.heard(now).count();
-        let young = now.saturating_duration_since(self.started) < ANNOUNCED_COUNT;
+        let young = now.saturating_duration_since(self.started) < ANNOUNCED_GRACE_PERIOD;
         let announced = if young { self.announced } else { 0 };
         QuotaShare { heard, members: announced.max(1 + self.peers.len()) }
     }
 
-    /// Returns whether some process knows that the store has answered all
-    /// along: then a row that is gone is gone for good.
+    /// Returns whether some process knows that the store has been available without interruption:
+    /// a missing row then means that its upstream is gone.
     pub fn store_was_there(&self, now: Instant) -> bool {
         self.steadiness.is_steady(now) || self.heard(now).any(|p| p.last.store_steady)
     }
@@ -77,8 +76,8 @@
         self.heard(now).any(|p| p.last.configuration > own)
     }
 
-    /// Returns whether a heartbeat tells less than what is known of its host: a later one was
-    /// heard, or one of a process that started there later. Messages overtake each other.
+    /// Returns whether a heartbeat is older than what is known of its host: a later one has
+    /// arrived, or one of a process that started there later. Datagrams may be reordered.
     pub fn is_outdated(&self, process: &ProcessId, heartbeat: &Heartbeat) -> bool {
         if let Some(known) = self.peers.get(process) {
             return known.last.up_ms > heartbeat.up_ms;
@@ -87,22 +86,22 @@
         of_host.any(|p| p.last.started() > heartbeat.started())
     }
 
-    /// Returns the heartbeats that are worth passing on, with whether each came from
-    /// `data_centre`. Those go first that were passed on least, and those from other data
-    /// centres, which few hear directly.
+    /// Selects the heartbeats to relay; the flag tells whether each came from `data_centre`. Those
+    /// relayed least often come first, then those from other data centres, which fewer gateways
+    /// receive directly.
     pub fn to_pass_on(&mut self, data_centre: &DataCentre, now: Instant) -> Vec<(bool, PassedOn)> {
         let age = |p: &PeerView| now.saturating_duration_since(p.heard);
         let near = |p: &PeerView| p.last.data_centre == *data_centre;
         let peers = self.peers.values_mut();
         let mut chosen: Vec<&mut PeerView> = peers.filter(|p| age(p) < PASSED_ON_WITHIN).collect();
-        chosen.sort_by_key(|p| (p.passed_on, near(p), Reverse(p.heard)));
-        chosen.truncate(MOST_PASSED_ON);
-        chosen.iter_mut().for_each(|p| p.passed_on += 1);
+        chosen.sort_by_key(|p| (p.times_relayed, near(p), Reverse(p.heard)));
+        chosen.truncate(MAX_RELAYED);
+        chosen.iter_mut().for_each(|p| p.times_relayed += 1);
         chosen.into_iter().map(|p| (near(p), PassedOn::new(&p.last, age(p)))).collect()
     }
 
-    /// Takes over a heartbeat that was sent at `heard`; returns when its process was heard
-    /// before, if it was.
+    /// Records a heartbeat that was sent at `heard`; returns the time of the process's previous
+    /// heartbeat, if there was one.
     pub fn hear(
         &mut self,
         process: ProcessId,
@@ -110,44 +109,45 @@
         heard: Instant,
     ) -> Option<Instant> {
         if !self.peers.contains_key(&process) {
-            self.end_earlier_processes(&heartbeat.host);
+            self.forget_earlier_processes(&heartbeat.host);
         }
         self.others_load.add(&heartbeat.loads);
         let holder = Holder::new(&heartbeat.host);
-        let view = PeerView { last: heartbeat, heard, holder, counted: true, passed_on: 0 };
+        let view =
+            PeerView { last: heartbeat, heard, holder, load_counted: true, times_relayed: 0 };
         let before = self.peers.insert(process, view)?;
-        if before.counted {
-            self.others_load.take_off(&before.last.loads);
+        if before.load_counted {
+            self.others_load.subtract(&before.last.loads);
         }
         Some(before.heard)
     }
 
-    /// Forgets processes of a host on which a new one has started.
-    fn end_earlier_processes(&mut self, host: &str) {
+    /// Forgets earlier processes of a host on which a new one has started.
+    fn forget_earlier_processes(&mut self, host: &str) {
         let of_host = self.peers.iter().filter(|(_, p)| p.last.host == host);
         let ended: Vec<ProcessId> = of_host.map(|(id, _)| id.clone()).collect();
         ended.iter().for_each(|id| self.forget_peer(id));
     }
 
-    /// Forgets another gateway.
+    /// Forgets another gateway process and subtracts its load.
     pub fn forget_peer(&mut self, process: &ProcessId) {
-        if let Some(peer) = self.peers.remove(process).filter(|p| p.counted) {
-            self.others_load.take_off(&peer.last.loads);
+        if let Some(peer) = self.peers.remove(process).filter(|p| p.load_counted) {
+            self.others_load.subtract(&peer.last.loads);
         }
     }
 
-    /// Takes off the load of gateways that have fallen silent.
+    /// Subtracts the load of gateways that have fallen silent.
     pub fn forget_silent_loads(&mut self, now: Instant) {
         let silence = self.peer_silence();
-        for peer in self.peers.values_mut().filter(|p| p.counted) {
+        for peer in self.peers.values_mut().filter(|p| p.load_counted) {
             if now.saturating_duration_since(peer.heard) >= silence {
-                peer.counted = false;
-                self.others_load.take_off(&peer.last.loads);
+                peer.load_counted = false;
+                self.others_load.subtract(&peer.last.loads);
             }
         }
     }
 
-    /// Returns the gateways that callers may use, as heard of late.
+    /// Returns the gateways that callers may use.
     pub fn serving_peers(&self, now: Instant) -> impl Iterator<Item = &PeerView> {
         let serves = |p: &&PeerView| p.last.phase == Phase::Serving && p.last.configuration > 0;
         self.heard(now).filter(serves)
--- a/src/gateway/board/removals.rs
+++ b/src/gateway/board/removals.rs
@@ -1,13 +1,13 @@
-//! Upstreams that are gone, for gateways that ask what has changed.
+//! Recently removed upstreams, for gateways that ask for changes.
 
 use std::collections::VecDeque;
 
 use crate::{gateway::model::Revision, ids::UpstreamId};
 
-/// Removals that are remembered. Whoever lacks more gets all upstreams.
-const MOST: usize = 4_096;
+/// Maximum number of remembered removals. A gateway that lacks more gets the full list.
+const MAX_REMOVALS: usize = 4_096;
 
-/// Upstreams that went away, by the revision up to which the store was known then.
+/// Removed upstreams, each with the store revision at which its removal was known.
 #[derive(Clone, Debug, Default)]
 pub struct Removals {
     /// Revision up to which removals are no longer remembered.
@@ -16,22 +16,22 @@
 }
 
 impl Removals {
-    /// Begins anew: nothing is remembered of before.
+    /// Forgets all removals; those up to `position` count as no longer remembered.
     pub fn reset(&mut self, position: Revision) {
         *self = Self { forgotten: position, removed: VecDeque::new() };
     }
 
-    /// Notes that an upstream went away.
+    /// Records the removal of an upstream.
     pub fn note(&mut self, revision: Revision, upstream: UpstreamId) {
         self.removed.push_back((revision, upstream));
-        if self.removed.len() > MOST
+        if self.removed.len() > MAX_REMOVALS
             && let Some((revision, _)) = self.removed.pop_front()
         {
             self.forgotten = self.forgotten.max(revision);
         }
     }
 
-    /// Returns the upstreams that went away after a revision; `None` if some are forgotten.
+    /// Returns the upstreams removed after a revision; `None` if some of them are forgotten.
     pub fn after(&self, revision: Revision) -> Option<Vec<UpstreamId>> {
         let later = self.removed.iter().filter(|(r, _)| *r > revision);
         (revision >= self.forgotten).then(|| later.map(|(_, id)| id.clone()).collect())
--- a/src/gateway/board/rollouts.rs
+++ b/src/gateway/board/rollouts.rs
@@ -12,12 +12,12 @@
 };
 
 impl Board {
-    /// Returns the store's clock, by which roll-outs go; 0 while it is not known.
+    /// Returns the present by the store's clock, which roll-outs follow; 0 while it is unknown.
     pub fn store_time(&self, now: Instant) -> StoreMillis {
         self.store_clock.now(now).unwrap_or_default()
     }
 
-    /// Returns which versions get a new request, and counts it; `None` without a roll-out.
+    /// Chooses which versions get a new request and counts it; `None` if there is no roll-out.
     pub fn choose_side(
         &mut self,
         service: &ServiceName,
@@ -31,8 +31,8 @@
         self.rollouts.choose_side(service, route, &Exposing { terms, member, now, draw })
     }
 
-    /// Returns which versions get a request that was sent before: the earlier ones as long as
-    /// they have traffic, so that a bad version costs a request one attempt at most.
+    /// Chooses which versions get a retry: the earlier ones as long as they have traffic, so that a
+    /// bad version costs a request at most one attempt.
     pub fn side_again(&self, service: &str, terms: ExposureTerms, now: Instant) -> Side {
         match self.rollouts.share(service, terms, self.store_time(now)) < 1.0 {
             true => Side::Earlier,
@@ -40,9 +40,9 @@
         }
     }
 
-    /// Returns the upstreams of a service that a request for `side` may go to. Where none of
-    /// that side takes it, those of the other side serve: the earlier ones have stopped, or
-    /// the new ones are gone.
+    /// Returns the upstreams of a service that a request for `side` may go to. If none of that side
+    /// takes it, those of the other side serve it: the earlier upstreams have stopped, or the new
+    /// ones are gone.
     pub fn open_to<'a>(
         &'a self,
         service: &'a str,
@@ -52,7 +52,7 @@
     ) -> Vec<&'a UpstreamView> {
         let rejected = |v: &&UpstreamView| self.rollouts.is_rejected(service, &v.upstream.version);
         let (rejected, open): (Vec<_>, Vec<_>) = self.of_service(service).partition(rejected);
-        // With no other version listed, one that was taken back is better than none.
+        // If no other version is listed, one that was rolled back is better than none.
         let all = if open.is_empty() { rejected } else { open };
         let Some(side) = side else {
             return all;
@@ -67,13 +67,13 @@
             Side::Earlier => own,
             Side::New => {
                 let share = self.rollouts.share(service, terms, self.store_time(now));
-                few_of(own, share)
+                canary_subset(own, share)
             }
         }
     }
 
-    /// Returns the upstreams of a service that carry its traffic or most of it: while two
-    /// versions stand side by side, the load needs one of them.
+    /// Returns the upstreams of a service that carry its traffic or most of it: while two versions
+    /// run side by side, only one of them is needed for the load.
     pub fn carrying<'a>(
         &'a self,
         service: &'a str,
@@ -86,14 +86,14 @@
             .filter(move |v| self.rollouts.side_of(service, &v.upstream.version) != Some(idle))
     }
 
-    /// Returns whether upstreams of earlier versions of a service are listed, beside which a new
-    /// one can be tried, and to which traffic can go back.
+    /// Returns whether upstreams of earlier versions are listed, against which a new version can be
+    /// compared and to which traffic can return.
     pub fn has_earlier(&self, service: &str) -> bool {
         let side = |v: &UpstreamView| self.rollouts.side_of(service, &v.upstream.version);
         self.of_service(service).any(|v| side(v) == Some(Side::Earlier))
     }
 
-    /// Returns how many requests run at the earlier versions of a service.
+    /// Returns how many requests run on the earlier versions of a service.
     pub fn running_at_earlier(&self, service: &str) -> u32 {
         let earlier = self
             .of_service(service)
@@ -102,12 +102,13 @@
     }
 }
 
-/// Returns so many of the upstreams that each is as loaded as it will be with all traffic:
-/// a version that is bad under load shows it early. All processes choose the same.
-fn few_of(mut all: Vec<&UpstreamView>, share: f64) -> Vec<&UpstreamView> {
+/// Returns a subset of the upstreams in proportion to `share`, so that each is as loaded as it
+/// will be with all traffic: a version that fails under load then shows it early. All processes
+/// choose the same subset.
+fn canary_subset(mut all: Vec<&UpstreamView>, share: f64) -> Vec<&UpstreamView> {
     all.sort_by_cached_key(|v| (!v.takes_work(), prefix::hash(v.upstream.id.as_bytes())));
     let serving = all.iter().filter(|v| v.takes_work()).count();
-    let few = (serving as f64 * share).ceil() as usize;
-    all.truncate(few.max(1));
+    let count = (serving as f64 * share).ceil() as usize;
+    all.truncate(count.max(1));
     all
 }
--- a/src/gateway/board/store.rs
+++ b/src/gateway/board/store.rs
@@ -1,19 +1,19 @@
-//! What this process knows of the store's state.
+//! Availability of the store, as this process sees it.
 
 use std::time::{Duration, Instant};
 
-/// Time after the store's return in which a row that disappears may have
-/// lapsed while it was away: such rows show with the first answers.
-pub(super) const LAPSE_SEEN: Duration = Duration::from_millis(700);
+/// Time after an outage of the store in which the removal of a row may mean that it lapsed
+/// during the outage: such removals show in the first answers.
+pub(super) const LAPSE_DETECTION_WINDOW: Duration = Duration::from_millis(700);
 
 /// Whether the store answers this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum StoreState {
-    /// It has answered all along.
+    /// It has answered without interruption.
     #[default]
     Up,
-    /// It has not answered since then.
+    /// It has not answered since this time.
     Away(Instant),
-    /// It answers again since then.
+    /// It has answered again since this time.
     Returned(Instant),
 }
--- a/src/gateway/board/upstream.rs
+++ b/src/gateway/board/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream as this process knows it.
+//! State of one upstream, as this process knows it.
 
 use std::time::{Duration, Instant};
 
@@ -10,68 +10,68 @@
 /// Load on one upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Load {
-    /// Requests running or waiting.
+    /// Requests that run or wait there.
     pub running: u32,
-    /// Prompt tokens that are not read yet.
+    /// Prompt tokens that are still to be computed.
     pub pending_tokens: u32,
 }
 
-/// The row of an upstream while it is missing.
+/// The state of an upstream's row while it is missing from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MissingRow {
-    /// What is known of its removal.
+    /// What is known of the row's removal.
     pub removal: Removal,
-    /// Revision at which the row was there.
+    /// Latest known revision of the upstream while its row was still there.
     pub listed: Revision,
-    /// Since when the upstream may have left.
+    /// Earliest time at which the upstream may have left.
     pub since: Instant,
-    /// Until when the row may come back.
+    /// When the row is no longer expected to return.
     pub until: Instant,
 }
 
-/// An upstream as this process knows it.
+/// State of one upstream, as this process knows it.
 #[derive(Clone, Debug)]
 pub struct UpstreamView {
-    /// Its own description.
+    /// The upstream's own description.
     pub upstream: Upstream,
-    /// Revision of the newest change of it.
+    /// Revision of its newest change.
     pub changed: Revision,
-    /// Name of its lifetime.
+    /// Its current lifetime, from one start of the upstream to the next.
     pub lifetime: Lifetime,
     /// Load that this process puts on it.
     pub own: Load,
-    /// Its health as requests saw it.
+    /// Circuit breaker, fed by the results of this process's requests.
     pub breaker: Breaker,
-    /// How it answered this process.
+    /// Answers and failures that this process has seen.
     pub outcomes: OutcomeMeter,
-    /// Its row, if that is missing and may come back.
+    /// Set while its row is missing and may return.
     pub missing: Option<MissingRow>,
-    /// Since when it may have said that it leaves, if it has.
+    /// Earliest time at which its row may have started to say that it is draining, if it does.
     pub leaving_since: Option<Instant>,
-    /// Since when its own answers say that it leaves, if they do.
+    /// Since when its answers say that it is leaving; `None` if they do not.
     pub said_leaving: Option<Instant>,
 }
 
-/// What a newer description of an upstream changed.
+/// Effect of a newer description of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Described {
-    /// It was not known.
+    /// The upstream was not known.
     New,
-    /// It has started again: nothing of before holds.
+    /// The upstream has restarted; its earlier state was discarded.
     StartedAgain,
-    /// It takes work now, or no longer.
+    /// The upstream has started or stopped taking new requests.
     PhaseChanged,
-    /// Nothing that decides anything.
+    /// No change that affects decisions.
     Same,
 }
 
-/// For how long an upstream that leaves gets requests that nobody else takes, from when it
-/// may have said so. It serves on for two seconds or more, and much of its work ends
-/// within one.
-const LAST_RESORT: Duration = Duration::from_millis(1_000);
+/// Time for which a leaving upstream still gets requests that no other upstream takes, from the
+/// earliest time at which it may have announced that. It goes on serving for at least two
+/// seconds, and much of its work ends within one.
+const LAST_RESORT_PERIOD: Duration = Duration::from_millis(1_000);
 
 impl UpstreamView {
-    /// Creates the view of an upstream that was just heard of.
+    /// Creates the state of an upstream that has just become known.
     pub fn new(upstream: Upstream, now: Instant) -> Self {
         Self {
             changed: 0,
@@ -86,20 +86,20 @@
         }
     }
 
-    /// Returns whether it takes new work.
+    /// Returns whether the upstream takes new requests.
     pub fn takes_work(&self) -> bool {
         let may_have_left = self.missing.is_some_and(|row| !row.removal.lapsed);
         !self.is_leaving() && !may_have_left
     }
 
-    /// Returns whether it has said that it leaves, in its row or in its answers.
+    /// Returns whether the upstream has announced in its row or its answers that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.upstream.phase == UpstreamPhase::Draining || self.said_leaving.is_some()
     }
 
-    /// Takes over its newer description. One that does not say when the upstream
-    /// started is of the lifetime that is known. `seen` is when the store was last seen
-    /// without it: from then on it may hold, however late it is learnt.
+    /// Applies a newer description. One without a start time belongs to the known lifetime. `seen`
+    /// is when the store was last known not to hold it: the description may have been valid from
+    /// then on, even if it arrived much later.
     pub fn update(&mut self, mut upstream: Upstream, seen: Instant, now: Instant) -> Described {
         upstream.born = upstream.born.or(self.upstream.born);
         if upstream.born != self.upstream.born {
@@ -115,10 +115,10 @@
         if changed { Described::PhaseChanged } else { Described::Same }
     }
 
-    /// Returns whether it still takes requests that no other upstream takes.
+    /// Returns whether the upstream still takes requests that no other upstream takes.
     pub fn is_last_resort(&self, now: Instant) -> bool {
         let removed = self.missing.filter(|row| !row.removal.lapsed).map(|row| row.since);
         let since = [self.leaving_since, self.said_leaving, removed].into_iter().flatten().min();
-        since.is_some_and(|t| now.saturating_duration_since(t) < LAST_RESORT)
+        since.is_some_and(|t| now.saturating_duration_since(t) < LAST_RESORT_PERIOD)
     }
 }
--- a/src/gateway/peering/crash_notice.rs
+++ b/src/gateway/peering/crash_notice.rs
@@ -1,4 +1,4 @@
-//! The datagram by which gateways tell each other of requests that crash upstreams.
+//! The datagram with which gateways inform each other of requests that crash upstreams.
 
 use std::net::SocketAddr;
 
@@ -7,48 +7,48 @@
 use super::{ProcessId, WireError};
 use crate::gateway::decide::{CrashNews, VerdictReport};
 
-/// First byte of the datagram. Heartbeats have bytes of their own, so that a gateway
-/// of a version before goes on hearing those of this one.
-pub(super) const NOTICE_FORMAT: u8 = 64;
-/// First byte of a list of verdicts, in the platform's store and between gateways.
+/// First byte of the datagram. Heartbeats use other values, so that a gateway of an earlier
+/// version still understands crash notices of this one.
+pub(super) const CRASH_NOTICE_FORMAT: u8 = 64;
+/// First byte of an encoded list of verdicts, in the store and between gateways.
 const VERDICTS_FORMAT: u8 = 1;
 
-/// What a gateway tells the others of requests that crash upstreams.
+/// What a gateway reports to others about requests that crash upstreams.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashNotice {
     /// The sending process.
     pub process: ProcessId,
-    /// Its address for other gateways' questions.
+    /// Its address for queries from other gateways.
     pub peers: SocketAddr,
-    /// Rises with each notice of the process.
+    /// Sequence number; increases with each notice of the process.
     pub number: u64,
-    /// Whether the receiver, and nobody else, may try now what is quarantined.
+    /// Whether the receiver alone may now run trials of quarantined requests.
     pub your_turn: bool,
-    /// What it tells.
+    /// The reported evidence and verdicts.
     pub news: CrashNews,
 }
 
 impl CrashNotice {
-    /// Encodes the notice.
+    /// Encodes the notice, including its first byte.
     ///
     /// # Errors
     ///
     /// Fails if a value cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, WireError> {
-        Ok(postcard::to_extend(self, vec![NOTICE_FORMAT])?)
+        Ok(postcard::to_extend(self, vec![CRASH_NOTICE_FORMAT])?)
     }
 
-    /// Decodes what follows the first byte.
+    /// Decodes the bytes after the first one.
     ///
     /// # Errors
     ///
-    /// Fails if the bytes are not a notice.
+    /// Fails if the bytes are not a crash notice.
     pub(super) fn decode(bytes: &[u8]) -> Result<Self, WireError> {
         Ok(postcard::from_bytes(bytes)?)
     }
 }
 
-/// Encodes verdicts.
+/// Encodes a list of verdicts, including its first byte.
 ///
 /// # Errors
 ///
@@ -57,11 +57,11 @@
     Ok(postcard::to_extend(verdicts, vec![VERDICTS_FORMAT])?)
 }
 
-/// Decodes verdicts.
+/// Decodes a list of verdicts, including its first byte.
 ///
 /// # Errors
 ///
-/// Fails if the bytes are not a list of verdicts.
+/// Fails if the bytes are not a list of verdicts in this format.
 pub fn decode_verdicts(bytes: &[u8]) -> Result<Vec<VerdictReport>, WireError> {
     match bytes.split_first() {
         Some((&VERDICTS_FORMAT, verdicts)) => Ok(postcard::from_bytes(verdicts)?),
--- a/src/gateway/peering/datagram.rs
+++ b/src/gateway/peering/datagram.rs
@@ -1,52 +1,52 @@
-//! Datagrams between gateways, told apart by their first byte.
+//! Datagrams between gateways, distinguished by their first byte.
 
 use super::{
-    CrashNotice, Heartbeat, LimitQuestion, PassedOn, WireError, crash_notice::NOTICE_FORMAT,
-    heartbeat::decode_heartbeats, limit_question::LIMIT_FORMAT,
+    CrashNotice, Heartbeat, LimitQuestion, PassedOn, WireError, crash_notice::CRASH_NOTICE_FORMAT,
+    heartbeat::decode_heartbeats, limit_share::LIMIT_FORMAT,
 };
 use crate::gateway::decide::dealt;
 
-/// What a datagram of another gateway holds.
+/// A decoded datagram from another gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Datagram {
-    /// What it tells several times a second, and what it passes on of others.
+    /// The sender's heartheartbeat, and heartbeats of other gateways that it relays.
     Heartbeats(Box<Heartbeat>, Vec<PassedOn>),
-    /// What it tells of requests that crash upstreams.
+    /// A report about requests that crash upstreams.
     Crashes(CrashNotice),
-    /// A question for a part of a limit, or its answer.
+    /// A request for a share of a rate limit, or the answer to one.
     Limit(LimitQuestion),
 }
 
 impl Datagram {
-    /// Decodes a datagram.
+    /// Decodes a datagram, including its first byte.
     ///
     /// # Errors
     ///
-    /// Fails if it is none of another gateway of this version.
+    /// Fails if it is not a datagram of another gateway of this version.
     pub fn decode(datagram: &[u8]) -> Result<Self, WireError> {
         match datagram.split_first() {
-            Some((&NOTICE_FORMAT, notice)) => CrashNotice::decode(notice).map(Self::Crashes),
-            Some((&LIMIT_FORMAT, question)) => LimitQuestion::decode(question).map(Self::Limit),
+            Some((&CRASH_NOTICE_FORMAT, notice)) => CrashNotice::decode(notice).map(Self::Crashes),
+            Some((&LIMIT_FORMAT, message)) => LimitQuestion::decode(message).map(Self::Limit),
             _ => decode_heartbeats(datagram)
-                .map(|(beat, passed_on)| Self::Heartbeats(Box::new(beat), passed_on)),
+                .map(|(heartbeat, relayed)| Self::Heartbeats(Box::new(heartbeat), relayed)),
         }
     }
 }
 
-/// Returns the datagrams for so many receivers: the sender's heartbeat, and with it as many of
-/// `passed_on` as fit into `most_bytes`. Each receiver gets other ones, as long as there are
-/// enough.
+/// Builds one datagram for each receiver: the sender's heartheartbeat, followed by as many of the
+/// relayed heartbeats as fit into `max_bytes`. Receivers get different relayed heartbeats, as
+/// long as there are enough.
 pub fn datagrams(
     heartbeat: &[u8],
-    passed_on: &[Vec<u8>],
+    relayed: &[Vec<u8>],
     receivers: usize,
-    most_bytes: usize,
+    max_bytes: usize,
 ) -> impl Iterator<Item = Vec<u8>> {
     (0..receivers).map(move |receiver| {
         let mut datagram = heartbeat.to_vec();
-        for i in dealt(passed_on.len(), receiver, receivers) {
-            if datagram.len() + passed_on[i].len() <= most_bytes {
-                datagram.extend_from_slice(&passed_on[i]);
+        for i in dealt(relayed.len(), receiver, receivers) {
+            if datagram.len() + relayed[i].len() <= max_bytes {
+                datagram.extend_from_slice(&relayed[i]);
             }
         }
         datagram
--- a/src/gateway/peering/heartbeat.rs
+++ b/src/gateway/peering/heartbeat.rs
@@ -1,4 +1,4 @@
-//! The datagram that gateways send each other several times a second.
+//! The heartbeat that gateways send each other several times a second.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -21,7 +21,7 @@
     time::UnixMillis,
 };
 
-/// Name of a process: its host and a number drawn at its start.
+/// Identifies a process: its host, and a random number drawn at its start.
 pub type ProcessId = String;
 
 /// Load that one process puts on an upstream.
@@ -29,207 +29,206 @@
 pub struct LoadReport(
     /// The upstream, in one lifetime.
     pub Lifetime,
-    /// Requests that it runs for this process.
+    /// Requests of this process that run there.
     pub u32,
-    /// Prompt tokens that it has yet to read for this process.
+    /// Prompt tokens of this process that are still to be computed there.
     pub u32,
 );
 
-/// How an upstream answered one process of late.
+/// Recent outcomes that one process has seen at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeReport(
     /// The upstream, in one lifetime.
     Lifetime,
-    /// Answers, in eighths.
+    /// Number of answers, in units of 1/8.
     u32,
-    /// Failures, in eighths.
+    /// Number of failures, in units of 1/8.
     u32,
 );
 
 impl OutcomeReport {
-    /// Parts in which answers are told.
-    const PARTS: f64 = 8.0;
-    /// Answers from which they are told.
-    const LEAST: f64 = 0.25;
+    /// Units per answer in the encoded counts.
+    const UNITS_PER_ANSWER: f64 = 8.0;
+    /// Number of answers below which nothing is reported.
+    const MIN_ANSWERS: f64 = 0.25;
 
-    /// Tells how an upstream answered; `None` if it hardly did.
+    /// Creates the report for an upstream; `None` if it has hardly answered.
     pub fn new(lifetime: Lifetime, seen: Outcomes) -> Option<Self> {
-        let parts = |count: f64| (count * Self::PARTS).round() as u32;
-        let told = Self(lifetime, parts(seen.answers), parts(seen.failures));
-        (seen.answers >= Self::LEAST).then_some(told)
+        let units = |count: f64| (count * Self::UNITS_PER_ANSWER).round() as u32;
+        let report = Self(lifetime, units(seen.answers), units(seen.failures));
+        (seen.answers >= Self::MIN_ANSWERS).then_some(report)
     }
 
-    /// Returns the upstream.
+    /// Returns the upstream, in one lifetime.
     pub fn lifetime(self) -> Lifetime {
         self.0
     }
 
-    /// Returns how it answered.
+    /// Returns the reported outcomes.
     pub fn outcomes(self) -> Outcomes {
-        let count = |parts: u32| f64::from(parts) / Self::PARTS;
+        let count = |units: u32| f64::from(units) / Self::UNITS_PER_ANSWER;
         Outcomes { answers: count(self.1), failures: count(self.2) }
     }
 }
 
-/// A shared prompt prefix that was sent to an engine of late.
+/// A shared prompt prefix that was recently sent to an engine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixReport(
     /// Fingerprint of the prefix.
     pub Fingerprint,
-    /// Tokens of the prefix.
+    /// Length of the prefix in tokens.
     pub u32,
     /// The engine, in one lifetime.
     pub Lifetime,
 );
 
-/// Load that callers bring to one process.
+/// Load that the callers of one process put on a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Demand {
-    /// Service.
+    /// The service under load.
     pub service: ServiceName,
-    /// Requests a second.
+    /// Requests per second.
     pub request_rate: f32,
-    /// Prompt tokens of a request that no cache holds, on average.
+    /// Mean number of prompt tokens per request that are in no cache.
     pub tokens: f32,
-    /// Seconds for which a request holds a slot, on average.
+    /// Mean number of seconds for which a request occupies a slot.
     pub held: f32,
 }
 
 impl Demand {
-    /// Tells the load of a service.
+    /// Creates the report of a service's load.
     pub fn new(service: &ServiceName, load: ServiceLoad) -> Self {
         let ServiceLoad { rate, cost } = load;
         let (tokens, held) = (cost.tokens as f32, cost.held as f32);
         Self { service: service.clone(), request_rate: rate as f32, tokens, held }
     }
 
-    /// Returns the load that is told.
+    /// Returns the reported load.
     pub fn load(&self) -> ServiceLoad {
         let cost = RequestCost { tokens: f64::from(self.tokens), held: f64::from(self.held) };
         ServiceLoad { rate: f64::from(self.request_rate), cost }
     }
 }
 
-/// How fast the upstreams of a service are, as one process has learnt.
+/// Speed of a service's upstreams, as one process has learnt it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SpeedReport {
-    /// Service.
+    /// The service whose upstreams were measured.
     pub service: ServiceName,
-    /// Requests that it rests on; older ones count less.
+    /// Number of requests that the estimate rests on; older ones have less weight.
     pub requests: f32,
-    /// See [`EngineSpeed`]: base, seconds a token, seconds a running request.
+    /// See [`EngineSpeed`]: base, seconds per token, seconds per running request.
     parts: [f32; 3],
 }
 
 impl SpeedReport {
-    /// Tells what `model` has learnt.
+    /// Creates the report of what `model` has learnt.
     pub fn new(service: &ServiceName, model: &SpeedModel) -> Self {
         let EngineSpeed { base, per_token, per_running, .. } = model.speed();
         let parts = [base, per_token, per_running].map(|part| part as f32);
         Self { service: service.clone(), requests: model.requests() as f32, parts }
     }
 
-    /// Returns the speed that is told.
+    /// Returns the reported speed.
     pub fn speed(&self) -> EngineSpeed {
         let [base, per_token, per_running] = self.parts.map(f64::from);
         EngineSpeed { base, per_token, per_running, ..EngineSpeed::default() }
     }
 }
 
-/// What a process tells the others.
+/// State that a process reports to all other gateways.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Name of the host.
+    /// Name of the sender's host.
     pub host: String,
-    /// Number drawn at the start of the process.
+    /// Random number drawn at the start of the process; distinguishes processes of a host.
     pub incarnation: Incarnation,
     /// Data centre of the host.
     pub data_centre: DataCentre,
     /// Address for callers.
     pub callers: SocketAddr,
-    /// Address for other gateways' questions.
+    /// Address for queries from other gateways.
     pub peers: SocketAddr,
     /// Address for heartbeats.
     pub heartbeats: SocketAddr,
-    /// How far it has got with leaving.
+    /// Phase of serving or shutting down.
     pub phase: Phase,
     /// Version of its configuration; 0 if it has none.
     pub configuration: u64,
-    /// Up to where it knows the configuration.
+    /// Revision and time up to which it knows the configuration.
     pub configuration_knowledge: Option<Knowledge>,
-    /// What the store's clock shows, as far as it knows.
+    /// Its estimate of the present by the store's clock.
     pub store_now: Option<StoreMillis>,
     /// Revision of the newest change of an upstream that it knows.
     pub upstreams: Revision,
-    /// Changes of upstreams of late, so that not every process has to read the
-    /// store.
+    /// Recent changes of upstreams; they spare the receivers a read of the store.
     pub recent: RecentChanges,
-    /// Whether the store answers it, as far as it knows.
+    /// Whether the store answers it.
     pub store_answers: bool,
-    /// Whether the store has answered it all along.
+    /// Whether the store has answered it without interruption.
     pub store_steady: bool,
     /// Milliseconds since its start.
     pub up_ms: u64,
-    /// Its time of day.
+    /// Its clock when the heartbeat was sent.
     pub time: UnixMillis,
-    /// What it says of the lease that it holds, or held last.
+    /// Claim on the lease that it holds, or held last.
     pub lease: Option<LeaseClaim>,
     /// Load that it puts on upstreams.
     pub loads: Vec<LoadReport>,
-    /// How upstreams answered it of late.
+    /// Recent outcomes that it has seen at upstreams.
     pub outcomes: Vec<OutcomeReport>,
-    /// Upstreams that said in answers that they leave, while their rows do not say so.
+    /// Upstreams that announced in answers that they are leaving, while their rows do not say so.
     pub leaving: Vec<LeavingReport>,
     /// Rate limits of upstreams that it knows, and those that have just ended.
     pub limits: Vec<LimitReport>,
-    /// Shared prefixes that it sent of late, told until most others have heard of them.
+    /// Shared prefixes that it sent recently, repeated until most others have received them.
     pub prefixes: Vec<PrefixReport>,
-    /// Tokens that it admitted since its start, by customer.
+    /// Tokens that it has admitted since its start, by customer.
     pub admitted: Vec<(CustomerName, i64)>,
-    /// Requests that began, in the newest windows.
+    /// Counts of requests that began in the newest windows.
     pub usage: Vec<(Window, Counts)>,
-    /// Load that its callers bring.
+    /// Load that its callers put on services.
     pub demand: Vec<Demand>,
-    /// How fast it has learnt that upstreams are.
+    /// Speeds of upstreams that it has learnt.
     pub speeds: Vec<SpeedReport>,
-    /// Roll-outs of versions, with what it has seen of them itself.
+    /// Roll-outs of versions, with the results that it has seen itself.
     pub rollouts: Vec<RolloutReport>,
     /// Its orders of engines, if it holds the lease.
     pub orders: Vec<OrderReport>,
 }
 
-/// Why bytes are not a message of another gateway.
+/// Reason why a message between gateways cannot be encoded or decoded.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// It cannot be written.
+    /// CBOR encoding failed.
     #[error("{0}")]
     Encode(#[from] ciborium::ser::Error<std::io::Error>),
-    /// It cannot be read.
+    /// CBOR decoding failed.
     #[error("{0}")]
     Decode(#[from] ciborium::de::Error<std::io::Error>),
-    /// It is not told by places as it should be, or cannot be.
-    #[error("by places: {0}")]
-    Places(#[from] postcard::Error),
-    /// Its sender is of another version of this program.
-    #[error("message of format {0:?}")]
+    /// Postcard encoding or decoding failed.
+    #[error("postcard: {0}")]
+    Postcard(#[from] postcard::Error),
+    /// The first byte, given here, is not a known format; `None` for an empty message.
+    #[error("unknown message format: {0:?}")]
     Format(Option<u8>),
 }
 
-/// First byte of a heartbeat. To be raised with every change of [`Heartbeat`]: its
-/// fields are told by their places, so another version would misread them.
-const FORMAT: u8 = 7;
+/// First byte of a heartbeat. It must be raised with every change of [`Heartbeat`]: postcard
+/// encodes fields by position, so that another version would misread them.
+const HEARTBEAT_FORMAT: u8 = 7;
 
-/// A heartbeat that another gateway passes on.
+/// A heartbeat that was relayed by another gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PassedOn {
-    /// Milliseconds since it was sent, as far as those know who passed it on.
+    /// Milliseconds since it was sent, as estimated by the relaying gateway.
     pub age_ms: u64,
-    /// The heartbeat, without what only its first receivers need.
+    /// The heartbeat, without the parts that only its direct receivers need.
     pub heartbeat: Heartbeat,
 }
 
 impl PassedOn {
-    /// Takes what is passed on of a heartbeat.
+    /// Creates the relayed form of a heartbeat.
     pub fn new(heartbeat: &Heartbeat, age: Duration) -> Self {
         let heartbeat = Heartbeat {
             recent: RecentChanges::default(),
@@ -242,7 +241,7 @@
         Self { age_ms: age.as_millis() as u64, heartbeat }
     }
 
-    /// Encodes it, to go along with a heartbeat.
+    /// Encodes it so that it can be appended to a heartbeat.
     ///
     /// # Errors
     ///
@@ -252,27 +251,27 @@
     }
 }
 
-/// Decodes a heartbeat and those of others that go along with it.
+/// Decodes a heartbeat and the relayed heartbeats appended to it.
 ///
 /// # Errors
 ///
 /// Fails if the datagram is not a heartbeat.
 pub fn decode_heartbeats(datagram: &[u8]) -> Result<(Heartbeat, Vec<PassedOn>), WireError> {
-    let Some((&FORMAT, rest)) = datagram.split_first() else {
+    let Some((&HEARTBEAT_FORMAT, rest)) = datagram.split_first() else {
         return Err(WireError::Format(datagram.first().copied()));
     };
     let (heartbeat, mut rest) = postcard::take_from_bytes(rest)?;
-    let mut passed_on = Vec::new();
+    let mut relayed = Vec::new();
     while !rest.is_empty() {
         let (next, left) = postcard::take_from_bytes(rest)?;
-        passed_on.push(next);
+        relayed.push(next);
         rest = left;
     }
-    Ok((heartbeat, passed_on))
+    Ok((heartbeat, relayed))
 }
 
 impl Heartbeat {
-    /// Returns the name of the sending process.
+    /// Returns the id of the sending process.
     pub fn process(&self) -> ProcessId {
         format!("{}.{:x}", self.host, self.incarnation)
     }
@@ -282,20 +281,20 @@
         self.time.saturating_sub(self.up_ms)
     }
 
-    /// Returns whether the sending process holds the lease on the duties.
+    /// Returns whether the sending process holds the lease on the singleton duties.
     pub fn holds_lease(&self) -> bool {
         self.lease.is_some_and(|claim| !claim.given_up)
     }
 
-    /// Encodes the heartbeat by places, without names of fields: with many gateways most
-    /// of what they send and hear is heartbeats.
+    /// Encodes the heartbeat by field position, without field names: with many gateways most of the
+    /// traffic between them is heartbeats.
     ///
     /// # Errors
     ///
     /// Fails if a value cannot be encoded.
     pub fn encode(&self) -> Result<Vec<u8>, WireError> {
         let mut buf = Vec::with_capacity(512);
-        buf.push(FORMAT);
+        buf.push(HEARTBEAT_FORMAT);
         Ok(postcard::to_extend(self, buf)?)
     }
 }
--- a/src/gateway/peering/limit_question.rs
+++ b/src/gateway/peering/limit_share.rs
@@ -1,4 +1,4 @@
-//! The datagrams by which a gateway asks another one for a request of its part of a limit.
+//! The datagrams with which a gateway asks another for one request of its share of a rate limit.
 
 use std::time::Duration;
 
@@ -10,27 +10,27 @@
 /// First byte of the datagram.
 pub(super) const LIMIT_FORMAT: u8 = 65;
 
-/// A question for a request of another gateway's part of a limit, or its answer.
+/// Asks for one request of another gateway's share of a rate limit, or answers that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LimitQuestion {
-    /// May the asking gateway send one request to this upstream?
+    /// Asks whether the sender may send one request to the upstream.
     Ask {
-        /// Told again with the answer.
+        /// Request number, repeated in the answer.
         number: u64,
-        /// The upstream.
+        /// The upstream, in one lifetime.
         upstream: Lifetime,
     },
-    /// It may, or is denied for so long.
+    /// Grants the request, or denies it for some time.
     Answer {
-        /// Number of the question.
+        /// Number of the answered request.
         number: u64,
-        /// `None` if it may.
+        /// `None` if granted; otherwise how long no request will be granted.
         wait: Option<Duration>,
     },
 }
 
 impl LimitQuestion {
-    /// Encodes the datagram.
+    /// Encodes the datagram, including its first byte.
     ///
     /// # Errors
     ///
@@ -39,11 +39,11 @@
         Ok(postcard::to_extend(self, vec![LIMIT_FORMAT])?)
     }
 
-    /// Decodes what follows the first byte.
+    /// Decodes the bytes after the first one.
     ///
     /// # Errors
     ///
-    /// Fails if the bytes are neither question nor answer.
+    /// Fails if the bytes are neither a request nor an answer.
     pub(super) fn decode(bytes: &[u8]) -> Result<Self, WireError> {
         Ok(postcard::from_bytes(bytes)?)
     }
--- a/src/gateway/peering/mod.rs
+++ b/src/gateway/peering/mod.rs
@@ -1,9 +1,9 @@
-//! What gateways tell each other.
+//! Messages between gateways.
 
 mod crash_notice;
 mod datagram;
 mod heartbeat;
-mod limit_question;
+mod limit_share;
 mod snapshot;
 
 pub use crash_notice::{CrashNotice, decode_verdicts, encode_verdicts};
@@ -12,5 +12,5 @@
     Demand, Heartbeat, LoadReport, OutcomeReport, PassedOn, PrefixReport, ProcessId, SpeedReport,
     WireError,
 };
-pub use limit_question::LimitQuestion;
+pub use limit_share::LimitQuestion;
 pub use snapshot::{RecentChanges, UpstreamChange, UpstreamSnapshot};
--- a/src/gateway/peering/snapshot.rs
+++ b/src/gateway/peering/snapshot.rs
@@ -1,4 +1,4 @@
-//! The upstreams as one gateway knows them, for others that do not read the store.
+//! Upstreams as known to one gateway, for gateways that do not read the store themselves.
 
 use std::{
     collections::VecDeque,
@@ -16,29 +16,29 @@
     ids::UpstreamId,
 };
 
-/// The upstreams that a gateway knows, or what has changed among them.
+/// The upstreams that a gateway knows, or those that have changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamSnapshot {
-    /// Revision after which it tells of changes; 0 if it names all upstreams.
+    /// Revision after which changes are included; 0 if all upstreams are.
     pub after: Revision,
-    /// Up to where the store is in it.
+    /// Revision and time up to which the store's contents are included.
     pub knowledge: Knowledge,
-    /// Revision of the newest change.
+    /// Revision of the newest known change.
     pub last_change: Revision,
-    /// The upstreams.
+    /// Descriptions of the upstreams.
     pub upstreams: Vec<Upstream>,
-    /// Those among them whose rows are missing and may be back soon.
+    /// Those of the upstreams whose rows are missing and may return.
     pub missing: Vec<(UpstreamId, Removal)>,
-    /// Upstreams that are gone, in a snapshot of changes.
+    /// Removed upstreams, if the snapshot contains only changes.
     pub gone: Vec<UpstreamId>,
 }
 
-/// First byte of a snapshot; see the one of heartbeats.
+/// First byte of a snapshot, to be changed with its format.
 const SNAPSHOT_FORMAT: u8 = 0x54;
 
 impl UpstreamSnapshot {
-    /// Encodes the snapshot by places: of thousands of upstreams, names of fields would be
-    /// the larger part.
+    /// Encodes the snapshot by field position: with thousands of upstreams, field names would make
+    /// up the larger part of it.
     ///
     /// # Errors
     ///
@@ -49,11 +49,11 @@
         Ok(postcard::to_extend(self, buf)?)
     }
 
-    /// Decodes a snapshot.
+    /// Decodes a snapshot, including its first byte.
     ///
     /// # Errors
     ///
-    /// Fails if the bytes are not a snapshot.
+    /// Fails if the bytes are not a snapshot in this format.
     pub fn decode(bytes: &[u8]) -> Result<Self, WireError> {
         match bytes.split_first() {
             Some((&SNAPSHOT_FORMAT, snapshot)) => Ok(postcard::from_bytes(snapshot)?),
@@ -62,19 +62,19 @@
     }
 }
 
-/// What became of an upstream.
+/// A change of one upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamChange {
-    /// It described itself anew.
+    /// The upstream has written a new description of itself.
     Written(Upstream),
-    /// Its row is missing and may be back soon.
+    /// The upstream's row is missing and may return.
     Missing(UpstreamId, Removal),
-    /// It is gone.
+    /// The upstream is gone.
     Gone(UpstreamId),
 }
 
 impl UpstreamChange {
-    /// Returns the upstream.
+    /// Returns the id of the changed upstream.
     pub fn upstream(&self) -> &UpstreamId {
         match self {
             Self::Written(upstream) => &upstream.id,
@@ -83,64 +83,68 @@
     }
 }
 
-/// All changes of upstreams after one revision of the store, up to another.
+/// All changes of upstreams between two revisions of the store.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecentChanges {
     /// Revision after which the changes begin.
     pub after: Revision,
-    /// Up to where they go.
+    /// Revision and time up to which the changes are complete.
     pub knowledge: Knowledge,
-    /// The changes, in order, each with its revision.
+    /// The changes in order, each with its revision.
     pub changes: Vec<(Revision, UpstreamChange)>,
-    /// When each change was noted here.
+    /// When this process recorded each change.
     #[serde(skip)]
-    noted: VecDeque<Instant>,
+    recorded_at: VecDeque<Instant>,
 }
 
-/// Changes that are kept for other gateways at most: more do not fit into a
-/// datagram, and whoever lacks them asks for a snapshot.
-const MOST_RECENT: usize = 24;
+/// Maximum number of changes kept for other gateways. More do not fit into a datagram; a gateway
+/// that lacks older ones asks for a snapshot.
+const MAX_RECENT_CHANGES: usize = 24;
 
 impl RecentChanges {
-    /// Begins anew after a snapshot.
+    /// Starts over from a complete list, without changes.
     pub fn reset(&mut self, knowledge: Knowledge) {
         *self = Self { after: knowledge.position, knowledge, ..Self::default() };
     }
 
-    /// Adds a change.
+    /// Appends a change.
     pub fn push(&mut self, revision: Revision, change: UpstreamChange, now: Instant) {
         self.knowledge.position = self.knowledge.position.max(revision);
         self.changes.push((revision, change));
-        self.noted.push_back(now);
-        if self.changes.len() > MOST_RECENT {
+        self.recorded_at.push_back(now);
+        if self.changes.len() > MAX_RECENT_CHANGES {
             self.drop_oldest();
         }
     }
 
-    /// Replaces what was told of a missing row by what is known of it now.
+    /// Replaces the latest change of an upstream by `known`, if it reported a missing row.
     pub fn amend(&mut self, upstream: &UpstreamId, known: UpstreamChange) {
-        let told = self.changes.iter_mut().rev().map(|(_, change)| change);
-        let newest = told.into_iter().find(|change| change.upstream() == upstream);
+        let newest_first = self.changes.iter_mut().rev().map(|(_, change)| change);
+        let newest = newest_first.into_iter().find(|change| change.upstream() == upstream);
         if let Some(change @ UpstreamChange::Missing(..)) = newest {
             *change = known;
         }
     }
 
-    /// Forgets changes that have been told for long enough.
-    pub fn forget(&mut self, now: Instant, told: Duration) {
-        while self.noted.front().is_some_and(|t| now.saturating_duration_since(*t) > told) {
+    /// Drops changes that have been reported for longer than `retention`.
+    pub fn forget(&mut self, now: Instant, retention: Duration) {
+        while self
+            .recorded_at
+            .front()
+            .is_some_and(|t| now.saturating_duration_since(*t) > retention)
+        {
             self.drop_oldest();
         }
     }
 
     fn drop_oldest(&mut self) {
-        self.noted.pop_front();
+        self.recorded_at.pop_front();
         if !self.changes.is_empty() {
             self.after = self.changes.remove(0).0;
         }
     }
 
-    /// Notes that there are no further changes up to there.
+    /// Records that there are no further changes up to `knowledge`.
     pub fn advance(&mut self, knowledge: Knowledge) {
         self.knowledge.advance(knowledge);
     }
