--- a/src/gateway/board/missing.rs
+++ b/src/gateway/board/missing.rs
@@ -88,7 +88,7 @@
         let is_new = view.missing.is_none();
         let mut row = view.missing.unwrap_or(MissingRow {
             removal,
-            listed: view.changed,
+            last_present: view.changed,
             since: now,
             until: now,
         });
@@ -134,7 +134,7 @@
     /// concerns the same one: the row was present before and was not written since.
     pub fn same_removal(&self, id: &UpstreamId, revision: Revision) -> Option<Removal> {
         let row = self.upstreams.get(id)?.missing?;
-        (revision > row.listed).then_some(row.removal)
+        (revision > row.last_present).then_some(row.removal)
     }
 
     /// Returns when the first of the missing rows is no longer expected to return.
--- a/src/gateway/board/upstream.rs
+++ b/src/gateway/board/upstream.rs
@@ -22,7 +22,7 @@
     /// What is known of the row's removal.
     pub removal: Removal,
     /// Latest known revision of the upstream while its row was still there.
-    pub listed: Revision,
+    pub last_present: Revision,
     /// Earliest time at which the upstream may have left.
     pub since: Instant,
     /// When the row is no longer expected to return.
@@ -47,7 +47,7 @@
     /// Set while its row is missing and may return.
     pub missing: Option<MissingRow>,
     /// Earliest time at which its row may have started to say that it is draining, if it does.
-    pub leaving_since: Option<Instant>,
+    pub draining_since: Option<Instant>,
     /// Since when its answers say that it is leaving; `None` if they do not.
     pub said_leaving: Option<Instant>,
 }
@@ -81,7 +81,7 @@
             breaker: Breaker::new(now),
             outcomes: OutcomeMeter::new(now),
             missing: None,
-            leaving_since: None,
+            draining_since: None,
             said_leaving: None,
         }
     }
@@ -108,7 +108,7 @@
         }
         let changed = self.upstream.phase != upstream.phase;
         if changed {
-            self.leaving_since = (upstream.phase == UpstreamPhase::Draining).then_some(seen);
+            self.draining_since = (upstream.phase == UpstreamPhase::Draining).then_some(seen);
         }
         self.upstream = upstream;
         self.missing = None;
@@ -118,7 +118,7 @@
     /// Returns whether the upstream still takes requests that no other upstream takes.
     pub fn is_last_resort(&self, now: Instant) -> bool {
         let removed = self.missing.filter(|row| !row.removal.lapsed).map(|row| row.since);
-        let since = [self.leaving_since, self.said_leaving, removed].into_iter().flatten().min();
+        let since = [self.draining_since, self.said_leaving, removed].into_iter().flatten().min();
         since.is_some_and(|t| now.saturating_duration_since(t) < LAST_RESORT_PERIOD)
     }
 }
