--- a/src/gateway/board/limits.rs
+++ b/src/gateway/board/limits.rs
@@ -33,8 +33,8 @@
     /// start, or has run for long enough to hear from all that still serve.
     fn knows_most_gateways(&self, now: Instant) -> bool {
         let known = 1 + self.peers.len();
-        let young = now.saturating_duration_since(self.started) < PEER_FORGOTTEN;
-        !young || known as f64 >= self.announced as f64 * MIN_KNOWN_SHARE
+        let is_recently_started = now.saturating_duration_since(self.started) < PEER_FORGOTTEN;
+        !is_recently_started || known as f64 >= self.announced as f64 * MIN_KNOWN_SHARE
     }
 
     /// Merges another gateway's reports of upstreams' limits; returns the limits that changed.
--- a/src/gateway/board/peers.rs
+++ b/src/gateway/board/peers.rs
@@ -59,8 +59,9 @@
     /// Returns the figures that determine this process's share of quotas.
     pub fn quota_share(&self, now: Instant) -> QuotaShare {
         let heard = 1 + self.heard(now).count();
-        let young = now.saturating_duration_since(self.started) < ANNOUNCED_GRACE_PERIOD;
-        let announced = if young { self.announced } else { 0 };
+        let is_recently_started =
+            now.saturating_duration_since(self.started) < ANNOUNCED_GRACE_PERIOD;
+        let announced = if is_recently_started { self.announced } else { 0 };
         QuotaShare { heard, members: announced.max(1 + self.peers.len()) }
     }
 
--- a/src/gateway/board/removals.rs
+++ b/src/gateway/board/removals.rs
@@ -11,14 +11,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Removals {
     /// Revision up to which removals are no longer remembered.
-    forgotten: Revision,
+    forgotten_up_to: Revision,
     removed: VecDeque<(Revision, UpstreamId)>,
 }
 
 impl Removals {
     /// Forgets all removals; those up to `position` count as no longer remembered.
     pub fn reset(&mut self, position: Revision) {
-        *self = Self { forgotten: position, removed: VecDeque::new() };
+        *self = Self { forgotten_up_to: position, removed: VecDeque::new() };
     }
 
     /// Records the removal of an upstream.
@@ -27,13 +27,13 @@
         if self.removed.len() > MAX_REMOVALS
             && let Some((revision, _)) = self.removed.pop_front()
         {
-            self.forgotten = self.forgotten.max(revision);
+            self.forgotten_up_to = self.forgotten_up_to.max(revision);
         }
     }
 
     /// Returns the upstreams removed after a revision; `None` if some of them are forgotten.
     pub fn after(&self, revision: Revision) -> Option<Vec<UpstreamId>> {
         let later = self.removed.iter().filter(|(r, _)| *r > revision);
-        (revision >= self.forgotten).then(|| later.map(|(_, id)| id.clone()).collect())
+        (revision >= self.forgotten_up_to).then(|| later.map(|(_, id)| id.clone()).collect())
     }
 }
