--- a/benches/hearing.rs
+++ b/benches/hearing.rs
@@ -5,7 +5,7 @@
 
 use tackhollow::gateway::{
     board::Board,
-    decide::{Counts, ServiceLoad, SpeedModel, TrueClock},
+    decide::{PeerCorrectedClock, ServiceLoad, SpeedModel, UsageCounts},
     model::{Upstream, UpstreamPhase},
     net::Phase,
     peering::{Datagram, Demand, Heartbeat, LoadReport, PrefixReport, RecentChanges, SpeedReport},
@@ -42,7 +42,7 @@
     let address = ([10, 1, (gateway >> 8) as u8, gateway as u8], 8_221).into();
     let engine_of = |n: usize| engine((gateway * 7 + beat + n * 11) % ENGINES).lifetime();
     let customers = (0..CUSTOMERS).map(|c| format!("hule{c:03}"));
-    let counts: Counts = customers.clone().map(|c| (c, 40)).collect();
+    let counts: UsageCounts = customers.clone().map(|c| (c, 40)).collect();
     let demand = |service: &str| Demand::new(&service.to_owned(), ServiceLoad::default());
     let speed = |service: &str| SpeedReport::new(&service.to_owned(), &SpeedModel::default());
     Heartbeat {
@@ -89,9 +89,9 @@
     println!("| ---: | ---: | ---: | ---: |");
     for gateways in GATEWAYS {
         let now = Instant::now();
-        let mut board = Board::new(TrueClock::new(now, 0), now);
+        let mut board = Board::new(PeerCorrectedClock::new(now, 0), now);
         for i in 0..ENGINES {
-            board.describe(engine(i), now);
+            board.apply_description(engine(i), now);
         }
         let datagrams: Vec<Vec<u8>> = (0..HEARD)
             .map(|n| heartbeat(n % gateways, n / gateways).encode().expect("it can be encoded"))
@@ -102,7 +102,7 @@
         let decoding = began.elapsed();
         let began = Instant::now();
         for beat in beats {
-            board.hear(beat.process(), beat, now);
+            board.record_heartbeat(beat.process(), beat, now);
         }
         let taking = began.elapsed();
         let each = |t: std::time::Duration| t.as_secs_f64() * 1e6 / HEARD as f64;
--- a/src/bin/tackhollow/gateways.rs
+++ b/src/bin/tackhollow/gateways.rs
@@ -9,7 +9,7 @@
 use anyhow::Result;
 use serde::Deserialize;
 use serde_json::{Value, json};
-use tackhollow::{edge::http_client::HttpClient, gateway::decide::OLD};
+use tackhollow::{edge::http_client::HttpClient, gateway::decide::KNOWLEDGE_OLD_AFTER};
 
 use super::{api::ApiError, cli::Output, output::table};
 
@@ -151,7 +151,7 @@
         [("configuration", s.configuration_age_ms), ("list of upstreams", s.upstreams_age_ms)]
     {
         match age_ms {
-            Some(age_ms) if u128::from(age_ms) >= OLD.as_millis() => {
+            Some(age_ms) if u128::from(age_ms) >= KNOWLEDGE_OLD_AFTER.as_millis() => {
                 note(format!("its {of} may be old: last known to be the newest {age_ms} ms ago"));
             }
             None => note(format!("its {of} was never read")),
--- a/src/gateway/board/demand.rs
+++ b/src/gateway/board/demand.rs
@@ -4,7 +4,7 @@
 
 use super::Board;
 use crate::gateway::{
-    decide::{Busy, EngineSpeed, LoadMeter, ServiceLoad, busy, mean_cost},
+    decide::{EngineSpeed, LoadMeter, Occupancy, ServiceLoad, mean_cost, occupancy},
     model::ServiceName,
     peering::Demand,
 };
@@ -16,7 +16,7 @@
     }
 
     /// Returns whether any gateway known here has received load from callers.
-    pub fn has_had_load(&self) -> bool {
+    pub fn has_seen_load(&self) -> bool {
         let others = || self.peers.values().any(|p| !p.last.demand.is_empty());
         !self.loads.is_empty() || others()
     }
@@ -27,7 +27,7 @@
     }
 
     /// Recomputes the average cost of a request to each service, over all processes.
-    pub fn average_costs(&mut self, now: Instant) {
+    pub fn update_average_costs(&mut self, now: Instant) {
         let services = self.loads.keys();
         let costs = services.filter_map(|s| Some((s.clone(), mean_cost(self.demand(s, now))?)));
         self.costs = costs.collect();
@@ -40,7 +40,7 @@
         now: Instant,
     ) -> impl Iterator<Item = ServiceLoad> + use<'a> {
         let own = self.loads.get(service).map(|meter| meter.load(now));
-        let others = self.heard(now).flat_map(|p| &p.last.demand);
+        let others = self.recently_heard(now).flat_map(|p| &p.last.demand);
         own.into_iter().chain(others.filter(move |d| d.service == service).map(Demand::load))
     }
 
@@ -50,8 +50,8 @@
     }
 
     /// Returns the resources that the load of a service keeps busy, as far as its cost is known.
-    pub fn busy(&self, service: &str, speed: EngineSpeed, now: Instant) -> Busy {
+    pub fn busy(&self, service: &str, speed: EngineSpeed, now: Instant) -> Occupancy {
         let cost = self.costs.get(service).copied().unwrap_or_default();
-        busy(ServiceLoad { rate: self.total_demand(service, now), cost }, speed)
+        occupancy(ServiceLoad { rate: self.total_demand(service, now), cost }, speed)
     }
 }
--- a/src/gateway/board/hold_off.rs
+++ b/src/gateway/board/hold_off.rs
@@ -6,26 +6,30 @@
 };
 
 use super::Board;
-use crate::gateway::{decide::Holder, model::Lifetime};
+use crate::gateway::{decide::ShareHolder, model::Lifetime};
 
 impl Board {
     /// Returns how long this gateway must wait before it may send a request to an upstream that
     /// has set a rate limit or asked for a pause; `None` if other gateways hold the whole limit.
     pub fn hold_off(&self, upstream: Lifetime, now: Instant) -> Option<Duration> {
         let wait = self.limits.wait(upstream, now)?;
-        Some(wait.max(self.rests.left(upstream, now)))
+        Some(wait.max(self.rests.remaining(upstream, now)))
     }
 
     /// Returns whether another gateway may have capacity left in its share of an upstream's limit.
-    pub fn may_ask(&self, upstream: Lifetime, now: Instant) -> bool {
-        self.rests.left(upstream, now).is_zero() && self.holder_to_ask(upstream, now).is_some()
+    pub fn may_ask_peer(&self, upstream: Lifetime, now: Instant) -> bool {
+        self.rests.remaining(upstream, now).is_zero() && self.peer_to_ask(upstream, now).is_some()
     }
 
     /// Returns a gateway that may have capacity left in its share of an upstream's limit, with its
     /// heartbeat address, to which it is asked.
-    pub fn holder_to_ask(&self, upstream: Lifetime, now: Instant) -> Option<(Holder, SocketAddr)> {
-        let address = |holder: Holder| {
-            let peer = self.heard(now).find(|p| p.holder == holder)?;
+    pub fn peer_to_ask(
+        &self,
+        upstream: Lifetime,
+        now: Instant,
+    ) -> Option<(ShareHolder, SocketAddr)> {
+        let address = |holder: ShareHolder| {
+            let peer = self.recently_heard(now).find(|p| p.holder == holder)?;
             Some((holder, peer.last.heartbeats))
         };
         self.limits.holders_to_ask(upstream, now).find_map(address)
@@ -33,7 +37,7 @@
 
     /// Returns the time until this gateway may send a request to an upstream of the service;
     /// `None` if it may send one now, or if no upstream serves.
-    pub fn hold_off_of(&self, service: &str, now: Instant) -> Option<Duration> {
+    pub fn service_hold_off(&self, service: &str, now: Instant) -> Option<Duration> {
         let serving: Vec<Lifetime> = self.serving(service).map(|v| v.lifetime).collect();
         let waits: Vec<Option<Duration>> =
             serving.iter().map(|upstream| self.hold_off(*upstream, now)).collect();
@@ -41,8 +45,8 @@
             return None;
         }
         let others_waits = serving.iter().filter_map(|upstream| {
-            let wait = self.limits.wait_of_others(*upstream, now)?;
-            Some(wait.max(self.rests.left(*upstream, now)))
+            let wait = self.limits.wait_for_holders(*upstream, now)?;
+            Some(wait.max(self.rests.remaining(*upstream, now)))
         });
         // If no gateway is known to have capacity left, one may send after this time on average.
         let rate: f64 = serving.iter().filter_map(|upstream| self.limits.rate(*upstream)).sum();
--- a/src/gateway/board/leaving.rs
+++ b/src/gateway/board/leaving.rs
@@ -19,14 +19,14 @@
         if let Some(id) = self.lifetimes.upstream(upstream).cloned()
             && let Some(view) = self.in_lifetime(&id, upstream)
         {
-            view.said_leaving = since;
+            view.announced_leaving_since = since;
         }
         is_new
     }
 
     /// Merges another gateway's reports of leaving upstreams; returns the upstreams for which that
     /// is new.
-    pub fn hear_leaving(&mut self, process: &ProcessId, now: Instant) -> Vec<Lifetime> {
+    pub fn merge_leaving_reports(&mut self, process: &ProcessId, now: Instant) -> Vec<Lifetime> {
         let reports = self.peers.get(process).map(|p| p.last.leaving.clone()).unwrap_or_default();
         let mut new = Vec::new();
         for LeavingReport(upstream, at) in reports {
@@ -46,7 +46,7 @@
             let view = lifetimes.upstream(upstream).and_then(|id| upstreams.get(id));
             view.is_none_or(|v| v.upstream.phase == UpstreamPhase::Ready)
         };
-        let announced = self.leaving.to_tell(row_is_outdated, now);
+        let announced = self.leaving.select_reports(row_is_outdated, now);
         let report = |(upstream, since): (Lifetime, Instant)| {
             let age = now.saturating_duration_since(since).as_millis() as u64;
             LeavingReport(upstream, self.store_time(now).saturating_sub(age))
--- a/src/gateway/board/limits.rs
+++ b/src/gateway/board/limits.rs
@@ -2,9 +2,9 @@
 
 use std::time::Instant;
 
-use super::{Board, PEER_FORGOTTEN};
+use super::{Board, PEER_TIMEOUT};
 use crate::gateway::{
-    decide::{Holder, LimitMembers, LimitNotice},
+    decide::{LimitAnnouncement, LimitMembers, ShareHolder},
     model::Lifetime,
     net::Phase,
     peering::ProcessId,
@@ -18,14 +18,14 @@
     /// Divides the rate limits of upstreams among the known gateways. `own` is the name of this
     /// gateway's host. A gateway that is leaving gets no share, unless it is the only one.
     pub fn divide_limits(&mut self, own: &str, leaving: bool, now: Instant) {
-        if self.limits.limited() == 0 {
+        if self.limits.count_limited() == 0 {
             return;
         }
         let serving = || self.peers.values().filter(|p| p.last.phase == Phase::Serving);
         let others = serving().map(|p| p.holder);
         let is_alone = serving().next().is_none();
         let takes_part = self.knows_most_gateways(now) && (!leaving || is_alone);
-        let members = LimitMembers::new(Holder::new(own), others, takes_part);
+        let members = LimitMembers::new(ShareHolder::new(own), others, takes_part);
         self.limits.divide(members, now);
     }
 
@@ -33,16 +33,16 @@
     /// start, or has run for long enough to hear from all that still serve.
     fn knows_most_gateways(&self, now: Instant) -> bool {
         let known = 1 + self.peers.len();
-        let is_recently_started = now.saturating_duration_since(self.started) < PEER_FORGOTTEN;
-        !is_recently_started || known as f64 >= self.announced as f64 * MIN_KNOWN_SHARE
+        let is_recently_started = now.saturating_duration_since(self.started) < PEER_TIMEOUT;
+        !is_recently_started || known as f64 >= self.announced_hosts as f64 * MIN_KNOWN_SHARE
     }
 
     /// Merges another gateway's reports of upstreams' limits; returns the limits that changed.
-    pub fn hear_limits(
+    pub fn merge_limit_reports(
         &mut self,
         process: &ProcessId,
         now: Instant,
-    ) -> Vec<(Lifetime, LimitNotice)> {
+    ) -> Vec<(Lifetime, LimitAnnouncement)> {
         let reports = self.peers.get(process).map(|p| p.last.limits.clone()).unwrap_or_default();
         let changes = reports.into_iter().filter(|r| self.limits.learn(r.0, r.1, now));
         changes.map(|r| (r.0, r.1)).collect()
--- a/src/gateway/board/missing.rs
+++ b/src/gateway/board/missing.rs
@@ -8,7 +8,7 @@
 use super::{Board, MissingRow, StoreState, store::LAPSE_DETECTION_WINDOW};
 use crate::{
     gateway::{
-        decide::{Removal, RowCount, StoreMillis, have_lapsed, longest_calm_gap},
+        decide::{Removal, RowCount, StoreMillis, max_read_interval, rows_lapsed},
         model::Revision,
     },
     ids::UpstreamId,
@@ -16,7 +16,7 @@
 
 /// Effect of a report about a missing row.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Noted {
+pub enum MissingRowChange {
     /// The row was not known to be missing.
     New(MissingRow),
     /// The row was known to be missing; details of its removal changed.
@@ -29,7 +29,7 @@
     /// Returns what is known of a row that was removed at `revision`, given that an answer of the
     /// store showed it at `seen`; `None` if the row cannot have lapsed.
     pub fn removal(&self, revision: Revision, seen: StoreMillis, now: Instant) -> Option<Removal> {
-        if self.store_was_there(now) {
+        if self.store_was_available(now) {
             return None;
         }
         let own_recovery = self.own_recovery_time(seen, now);
@@ -44,8 +44,8 @@
     fn own_recovery_time(&self, seen: StoreMillis, now: Instant) -> Option<StoreMillis> {
         match self.store {
             StoreState::Up => None,
-            StoreState::Away(_) => Some(seen),
-            StoreState::Returned(at) => {
+            StoreState::OutageSince(_) => Some(seen),
+            StoreState::RecoveredSince(at) => {
                 let ago = now.saturating_duration_since(at);
                 let is_recent = ago < LAPSE_DETECTION_WINDOW || self.upstreams_seen(now) <= at;
                 let at = self.store_time(now).saturating_sub(ago.as_millis() as StoreMillis);
@@ -67,7 +67,7 @@
     /// Returns whether the list had not been read for so long before `read` that the store may have
     /// been unreachable.
     fn was_unread_before(&self, read: StoreMillis) -> bool {
-        let calm = longest_calm_gap(1 + self.peers.len());
+        let calm = max_read_interval(1 + self.peers.len());
         let unread = |as_of: StoreMillis| Duration::from_millis(read.saturating_sub(as_of));
         self.upstreams_knowledge.is_some_and(|k| unread(k.as_of) >= calm)
     }
@@ -80,10 +80,15 @@
     }
 
     /// Records that the row of an upstream is missing.
-    pub fn note_missing(&mut self, id: &UpstreamId, removal: Removal, now: Instant) -> Noted {
+    pub fn note_missing(
+        &mut self,
+        id: &UpstreamId,
+        removal: Removal,
+        now: Instant,
+    ) -> MissingRowChange {
         let store_now = self.store_time(now);
         let Some(view) = self.upstreams.get_mut(id) else {
-            return Noted::Known;
+            return MissingRowChange::Known;
         };
         let is_new = view.missing.is_none();
         let mut row = view.missing.unwrap_or(MissingRow {
@@ -93,15 +98,15 @@
             until: now,
         });
         if !row.removal.merge(removal) && !is_new {
-            return Noted::Known;
+            return MissingRowChange::Known;
         }
         let age = Duration::from_millis(store_now.saturating_sub(row.removal.last_seen));
         row.since = now.checked_sub(age).unwrap_or(row.since);
-        let left = row.removal.expected_until().saturating_sub(store_now);
+        let left = row.removal.grace_period_end().saturating_sub(store_now);
         row.until = now + Duration::from_millis(left);
         view.missing = Some(row);
         view.changed = view.changed.max(removal.revision);
-        if is_new { Noted::New(row) } else { Noted::Changed(row) }
+        if is_new { MissingRowChange::New(row) } else { MissingRowChange::Changed(row) }
     }
 
     /// Marks missing rows as lapsed where enough other rows are missing too; returns those that
@@ -118,7 +123,7 @@
             .filter(|v| v.missing.is_some_and(|row| !row.removal.lapsed))
             .filter(|v| {
                 let count = rows_by_service.get(v.upstream.service.as_str());
-                count.is_some_and(|count| have_lapsed(*count, all_rows))
+                count.is_some_and(|count| rows_lapsed(*count, all_rows))
             })
             .map(|v| v.upstream.id.clone())
             .collect();
--- a/src/gateway/board/mod.rs
+++ b/src/gateway/board/mod.rs
@@ -28,10 +28,11 @@
 
 use super::{
     decide::{
-        Breaks, CacheBelief, Candidate, CapacityRecord, CrashBook, EngineSpeed, Knowledge,
-        LeavingBook, LimitBook, LoadMeter, Mechanism, QuotaBook, RequestCost, RestBook, RetryBook,
-        RolloutBook, SpeedModel, Steadiness, StoreClock, StoreMillis, SwitchedOff, TrialTurn,
-        TrueClock, UsageBook,
+        Candidate, CapacityRecord, CooldownTracker, CrashTracker, DisabledMechanisms, EngineSpeed,
+        InterruptedAttempts, LeavingTracker, LoadMeter, Mechanism, PeerCorrectedClock,
+        PrefixCacheEstimate, QuotaLimiter, RateLimiter, RequestCost, RolloutTracker,
+        ServiceRetryBudgets, SpeedModel, StoreClock, StoreMillis, StoreStability, SyncPoint,
+        TrialTurn, UsageCounters,
     },
     model::{Configuration, Followed, Lifetime, Revision, ServiceName, Upstream},
     peering::{LoadReport, PrefixReport, ProcessId, RecentChanges, SpeedReport, UpstreamSnapshot},
@@ -44,20 +45,20 @@
 use removals::Removals;
 
 pub use lease::{LeaseView, OwnLease};
-pub use missing::Noted;
+pub use missing::MissingRowChange;
 pub use peers::PeerView;
 pub use store::StoreState;
-pub use upstream::{Described, Load, MissingRow, UpstreamView};
+pub use upstream::{DescriptionChange, Load, MissingRow, UpstreamView};
 
 /// Interval between heartbeats. Load figures that are older lead to bad choices of engines.
 pub const HEARTBEAT_PERIOD: Duration = Duration::from_millis(150);
 /// Number of gateways that each heartbeat reaches within one or two periods, directly or relayed.
 /// In a larger fleet a gateway receives only every few heartbeats of each other gateway, so that
 /// the cost of a process does not grow with the number of gateways.
-pub const HEARD_A_PERIOD: usize = 24;
+pub const HEARTBEAT_REACH: usize = 24;
 /// Silence after which a gateway is assumed to have stopped serving. Until then it may only be
 /// partitioned from this one and still use its share of quotas.
-pub const PEER_FORGOTTEN: Duration = Duration::from_secs(12);
+pub const PEER_TIMEOUT: Duration = Duration::from_secs(12);
 
 /// Longest time for which requests wait after the start until the crash verdicts are known. The
 /// store delivers them within some 10 ms, another gateway within two heartbeats; if neither
@@ -72,13 +73,13 @@
     /// The encoded document from which the configuration was read, served to other gateways.
     pub document: Bytes,
     /// Revision and time up to which the configuration is known; `None` if it was never read.
-    pub configuration_knowledge: Option<Knowledge>,
+    pub configuration_knowledge: Option<SyncPoint>,
     /// Estimate of the store's clock.
     pub store_clock: StoreClock,
     /// Known upstreams by id.
     pub upstreams: BTreeMap<UpstreamId, UpstreamView>,
     /// Revision and time up to which the upstreams are known; `None` if they were never read.
-    pub upstreams_knowledge: Option<Knowledge>,
+    pub upstreams_knowledge: Option<SyncPoint>,
     /// Store time at which the list of upstreams was read again after no gateway had read it for
     /// longer than usual; `None` if that has not happened.
     pub upstreams_reread_at: Option<StoreMillis>,
@@ -92,53 +93,53 @@
     /// Other gateway processes, as last heard from.
     pub peers: BTreeMap<ProcessId, PeerView>,
     /// Number of hosts that were announced in the store when this process started.
-    pub announced: usize,
+    pub announced_hosts: usize,
     /// Until when this process waits for other gateways to send it the upstreams; `None` while the
     /// number of other gateways is unknown.
-    pub told_until: Option<Instant>,
+    pub peer_snapshot_deadline: Option<Instant>,
     /// Estimate of which engines hold which prompt prefixes in their caches.
-    pub cache: CacheBelief,
+    pub cache: PrefixCacheEstimate,
     /// Prefixes sent to engines since the last heartbeat.
     pub sent_prefixes: Vec<PrefixReport>,
     /// Token quotas of customers.
-    pub quotas: QuotaBook,
+    pub quotas: QuotaLimiter,
     /// Upstreams that announced in their answers that they are leaving.
-    pub leaving: LeavingBook,
+    pub leaving: LeavingTracker,
     /// Rate limits announced by upstreams.
-    pub limits: LimitBook,
+    pub limits: RateLimiter,
     /// Upstreams that asked this process to pause requests.
-    pub rests: RestBook,
+    pub rests: CooldownTracker,
     /// Roll-outs of new upstream versions.
-    pub rollouts: RolloutBook,
+    pub rollouts: RolloutTracker,
     /// Retry budget.
-    pub retries: RetryBook,
+    pub retries: ServiceRetryBudgets,
     /// Requests that crash upstreams, and the evidence for it.
-    pub crashes: CrashBook,
+    pub crashes: CrashTracker,
     /// Whether this process may run trials of quarantined requests.
     pub trial_turn: TrialTurn,
     /// Attempts that broke off at upstreams that may have crashed.
-    pub breaks: Breaks,
+    pub breaks: InterruptedAttempts,
     /// Whether the store or another gateway has delivered the crash verdicts.
-    pub verdicts_known: bool,
+    pub crash_verdicts_known: bool,
     /// Usage counts by time window.
-    pub usage: UsageBook,
+    pub usage: UsageCounters,
     /// Demand for engines and orders of engines, as reported by the lease holder.
     pub capacity: CapacityRecord,
     /// Demand for engines that an earlier lease holder left in the store, by service.
-    pub kept_needs: BTreeMap<ServiceName, f64>,
+    pub previous_holder_needs: BTreeMap<ServiceName, f64>,
     /// Estimate of the true time of day.
-    pub clock: TrueClock,
+    pub clock: PeerCorrectedClock,
     /// The lease on the singleton duties, as this process sees it.
     pub lease: LeaseView,
     /// Whether the store answers this process.
     pub store: StoreState,
     /// Whether the store has answered this process without interruption.
-    pub steadiness: Steadiness,
+    pub steadiness: StoreStability,
     /// Number of requests in progress.
     pub in_progress: usize,
     /// Newest lifetime of each upstream.
     lifetimes: Lifetimes,
-    others_load: PeerLoads,
+    peer_load: PeerLoads,
     shared_outcomes: SharedOutcomes,
     loads: BTreeMap<ServiceName, LoadMeter>,
     /// Average cost of a request to each service, over all processes.
@@ -149,7 +150,7 @@
 
 impl Board {
     /// Creates a board without any knowledge.
-    pub fn new(clock: TrueClock, now: Instant) -> Self {
+    pub fn new(clock: PeerCorrectedClock, now: Instant) -> Self {
         Self {
             configuration: None,
             document: Bytes::new(),
@@ -162,30 +163,30 @@
             removals: Removals::default(),
             recent_changes: RecentChanges::default(),
             peers: BTreeMap::new(),
-            announced: 0,
-            told_until: None,
-            cache: CacheBelief::default(),
+            announced_hosts: 0,
+            peer_snapshot_deadline: None,
+            cache: PrefixCacheEstimate::default(),
             sent_prefixes: Vec::new(),
-            quotas: QuotaBook::new(now),
-            leaving: LeavingBook::default(),
-            limits: LimitBook::default(),
-            rests: RestBook::default(),
-            rollouts: RolloutBook::default(),
-            retries: RetryBook::default(),
-            crashes: CrashBook::default(),
+            quotas: QuotaLimiter::new(now),
+            leaving: LeavingTracker::default(),
+            limits: RateLimiter::default(),
+            rests: CooldownTracker::default(),
+            rollouts: RolloutTracker::default(),
+            retries: ServiceRetryBudgets::default(),
+            crashes: CrashTracker::default(),
             trial_turn: TrialTurn::default(),
-            breaks: Breaks::default(),
-            verdicts_known: false,
-            usage: UsageBook::default(),
+            breaks: InterruptedAttempts::default(),
+            crash_verdicts_known: false,
+            usage: UsageCounters::default(),
             capacity: CapacityRecord::default(),
-            kept_needs: BTreeMap::new(),
+            previous_holder_needs: BTreeMap::new(),
             clock,
             lease: LeaseView::default(),
             store: StoreState::Up,
-            steadiness: Steadiness::default(),
+            steadiness: StoreStability::default(),
             in_progress: 0,
             lifetimes: Lifetimes::default(),
-            others_load: PeerLoads::default(),
+            peer_load: PeerLoads::default(),
             shared_outcomes: SharedOutcomes::default(),
             loads: BTreeMap::new(),
             costs: BTreeMap::new(),
@@ -206,8 +207,9 @@
 
     /// Returns whether this process may send requests: the crash verdicts are known, or the wait
     /// for them has timed out.
-    pub fn knows_crashes(&self, now: Instant) -> bool {
-        self.verdicts_known || now.saturating_duration_since(self.started) >= CRASH_VERDICTS_TIMEOUT
+    pub fn crash_verdicts_ready(&self, now: Instant) -> bool {
+        self.crash_verdicts_known
+            || now.saturating_duration_since(self.started) >= CRASH_VERDICTS_TIMEOUT
     }
 
     /// Returns when the list of upstreams was last known to be up to date.
@@ -254,14 +256,14 @@
     }
 
     /// Applies an upstream's description of itself that was written at a store revision.
-    pub fn describe_at(
+    pub fn apply_description_at(
         &mut self,
         upstream: Upstream,
         revision: Revision,
         now: Instant,
-    ) -> Described {
+    ) -> DescriptionChange {
         let id = upstream.id.clone();
-        let described = self.describe(upstream, now);
+        let described = self.apply_description(upstream, now);
         if let Some(view) = self.upstreams.get_mut(&id) {
             view.changed = view.changed.max(revision);
         }
@@ -269,7 +271,7 @@
     }
 
     /// Applies an upstream's description of itself.
-    pub fn describe(&mut self, upstream: Upstream, now: Instant) -> Described {
+    pub fn apply_description(&mut self, upstream: Upstream, now: Instant) -> DescriptionChange {
         let id = upstream.id.clone();
         let seen = self.upstreams_seen(now);
         let (described, lifetime) = match self.upstreams.get_mut(&id) {
@@ -278,12 +280,12 @@
                 let view = UpstreamView::new(upstream, now);
                 let lifetime = view.lifetime;
                 self.upstreams.insert(id.clone(), view);
-                (Described::New, lifetime)
+                (DescriptionChange::New, lifetime)
             }
         };
         self.lifetimes.note(&id, lifetime);
         if let Some(view) = self.upstreams.get_mut(&id) {
-            view.said_leaving = self.leaving.since(lifetime);
+            view.announced_leaving_since = self.leaving.since(lifetime);
         }
         described
     }
@@ -317,7 +319,7 @@
     }
 
     /// Returns a receiver of the upstream's newest lifetime; `None` if the upstream is unknown.
-    pub fn follow_lifetime(&self, id: &UpstreamId) -> Option<Receiver<Lifetime>> {
+    pub fn subscribe_lifetime(&self, id: &UpstreamId) -> Option<Receiver<Lifetime>> {
         self.lifetimes.follow(id)
     }
 
@@ -326,14 +328,14 @@
         let known: HashSet<Lifetime> = self.upstreams.values().map(|v| v.lifetime).collect();
         self.cache.retain(|lifetime| known.contains(&lifetime));
         self.leaving.retain(|lifetime| known.contains(&lifetime), now);
-        self.rests.forget(now);
+        self.rests.remove_expired(now);
         self.limits.retain(|lifetime| known.contains(&lifetime), now);
         self.lifetimes.retain(|id| self.upstreams.contains_key(id));
     }
 
     /// Returns the load that other processes put on an upstream, as last reported.
-    pub fn others_load(&self, view: &UpstreamView) -> Load {
-        self.others_load.on(view.lifetime)
+    pub fn peer_load(&self, view: &UpstreamView) -> Load {
+        self.peer_load.on(view.lifetime)
     }
 
     /// Builds the routing candidate for an upstream; `missing_tokens` is the number of prompt
@@ -346,7 +348,7 @@
         now: Instant,
         chance: f64,
     ) -> Candidate {
-        let others = self.others_load(view);
+        let others = self.peer_load(view);
         Candidate {
             running: f64::from(view.own.running + others.running),
             pending_tokens: f64::from(view.own.pending_tokens + others.pending_tokens),
@@ -355,17 +357,17 @@
             failures: view.breaker.recent_failures(now),
             remote: view.upstream.data_centre != *own_data_centre,
             connected: false,
-            chance,
+            jitter_sample: chance,
         }
     }
 
     /// Returns the learnt speed of a service's upstreams, or defaults where nothing is learnt.
-    pub fn speed(&self, service: &str, off: &SwitchedOff) -> EngineSpeed {
-        if !off.is_on(Mechanism::LearntSpeed) {
+    pub fn speed(&self, service: &str, off: &DisabledMechanisms) -> EngineSpeed {
+        if !off.is_enabled(Mechanism::LearntSpeed) {
             return EngineSpeed::default();
         }
         let mut speed = self.speeds.get(service).map(SpeedModel::speed).unwrap_or_default();
-        speed.held = self.costs.get(service).map_or(speed.held, |c| c.held);
+        speed.slot_seconds = self.costs.get(service).map_or(speed.slot_seconds, |c| c.slot_seconds);
         speed
     }
 
--- a/src/gateway/board/outcomes.rs
+++ b/src/gateway/board/outcomes.rs
@@ -25,12 +25,15 @@
     }
 
     /// Recomputes the sums of the outcomes that all processes report.
-    pub fn add_up_outcomes(&mut self, now: Instant) {
+    pub fn update_shared_outcomes(&mut self, now: Instant) {
         let mut others: HashMap<Lifetime, Outcomes> = HashMap::new();
-        for peer in self.heard(now) {
-            let left = Outcomes::left_after(now.saturating_duration_since(peer.heard));
+        for peer in self.recently_heard(now) {
+            let left = Outcomes::remaining_weight(now.saturating_duration_since(peer.last_heard));
             for report in &peer.last.outcomes {
-                others.entry(report.lifetime()).or_default().add(report.outcomes().share(left));
+                others
+                    .entry(report.lifetime())
+                    .or_default()
+                    .add(report.outcomes().weighted_by(left));
             }
         }
         let mut services: HashMap<ServiceName, Outcomes> = HashMap::new();
--- a/src/gateway/board/peers.rs
+++ b/src/gateway/board/peers.rs
@@ -5,12 +5,12 @@
     time::{Duration, Instant},
 };
 
-use super::{Board, HEARD_A_PERIOD, HEARTBEAT_PERIOD};
+use super::{Board, HEARTBEAT_PERIOD, HEARTBEAT_REACH};
 use crate::{
     gateway::{
-        decide::{Holder, PASSED_ON_WITHIN, QuotaShare},
+        decide::{MAX_RELAY_AGE, QuotaShare, ShareHolder},
         net::Phase,
-        peering::{Heartbeat, PassedOn, ProcessId},
+        peering::{Heartbeat, ProcessId, RelayedHeartbeat},
     },
     ids::DataCentre,
 };
@@ -33,9 +33,9 @@
     /// Its latest heartbeat.
     pub last: Heartbeat,
     /// When its latest heartbeat arrived; for a relayed one, when it was sent.
-    pub heard: Instant,
+    pub last_heard: Instant,
     /// Its identity in the division of rate limits.
-    pub holder: Holder,
+    pub holder: ShareHolder,
     /// Whether its load is included in the sums of others' load.
     load_counted: bool,
     /// How often this process has relayed the latest heartbeat.
@@ -45,36 +45,36 @@
 impl Board {
     /// Returns the silence after which a gateway counts as gone.
     pub fn peer_silence(&self) -> Duration {
-        let periods = self.peers.len() as f64 / HEARD_A_PERIOD as f64;
+        let periods = self.peers.len() as f64 / HEARTBEAT_REACH as f64;
         HEARTBEAT_PERIOD.mul_f64(periods * PEER_SILENCE_INTERVALS).max(MIN_PEER_SILENCE)
     }
 
     /// Returns the gateways heard from within the allowed silence.
-    pub fn heard(&self, now: Instant) -> impl Iterator<Item = &PeerView> {
+    pub fn recently_heard(&self, now: Instant) -> impl Iterator<Item = &PeerView> {
         let silence = self.peer_silence();
-        let recent = move |p: &&PeerView| now.saturating_duration_since(p.heard) < silence;
+        let recent = move |p: &&PeerView| now.saturating_duration_since(p.last_heard) < silence;
         self.peers.values().filter(recent)
     }
 
     /// Returns the figures that determine this process's share of quotas.
     pub fn quota_share(&self, now: Instant) -> QuotaShare {
-        let heard = 1 + self.heard(now).count();
+        let heard = 1 + self.recently_heard(now).count();
         let is_recently_started =
             now.saturating_duration_since(self.started) < ANNOUNCED_GRACE_PERIOD;
-        let announced = if is_recently_started { self.announced } else { 0 };
+        let announced = if is_recently_started { self.announced_hosts } else { 0 };
         QuotaShare { heard, members: announced.max(1 + self.peers.len()) }
     }
 
     /// Returns whether some process knows that the store has been available without interruption:
     /// a missing row then means that its upstream is gone.
-    pub fn store_was_there(&self, now: Instant) -> bool {
-        self.steadiness.is_steady(now) || self.heard(now).any(|p| p.last.store_steady)
+    pub fn store_was_available(&self, now: Instant) -> bool {
+        self.steadiness.is_steady(now) || self.recently_heard(now).any(|p| p.last.store_steady)
     }
 
     /// Returns whether another gateway has a newer configuration.
     pub fn configuration_is_behind(&self, now: Instant) -> bool {
         let own = self.configuration_version();
-        self.heard(now).any(|p| p.last.configuration > own)
+        self.recently_heard(now).any(|p| p.last.configuration > own)
     }
 
     /// Returns whether a heartbeat is older than what is known of its host: a later one has
@@ -90,20 +90,24 @@
     /// Selects the heartbeats to relay; the flag tells whether each came from `data_centre`. Those
     /// relayed least often come first, then those from other data centres, which fewer gateways
     /// receive directly.
-    pub fn to_pass_on(&mut self, data_centre: &DataCentre, now: Instant) -> Vec<(bool, PassedOn)> {
-        let age = |p: &PeerView| now.saturating_duration_since(p.heard);
+    pub fn heartbeats_to_relay(
+        &mut self,
+        data_centre: &DataCentre,
+        now: Instant,
+    ) -> Vec<(bool, RelayedHeartbeat)> {
+        let age = |p: &PeerView| now.saturating_duration_since(p.last_heard);
         let near = |p: &PeerView| p.last.data_centre == *data_centre;
         let peers = self.peers.values_mut();
-        let mut chosen: Vec<&mut PeerView> = peers.filter(|p| age(p) < PASSED_ON_WITHIN).collect();
-        chosen.sort_by_key(|p| (p.times_relayed, near(p), Reverse(p.heard)));
+        let mut chosen: Vec<&mut PeerView> = peers.filter(|p| age(p) < MAX_RELAY_AGE).collect();
+        chosen.sort_by_key(|p| (p.times_relayed, near(p), Reverse(p.last_heard)));
         chosen.truncate(MAX_RELAYED);
         chosen.iter_mut().for_each(|p| p.times_relayed += 1);
-        chosen.into_iter().map(|p| (near(p), PassedOn::new(&p.last, age(p)))).collect()
+        chosen.into_iter().map(|p| (near(p), RelayedHeartbeat::new(&p.last, age(p)))).collect()
     }
 
     /// Records a heartbeat that was sent at `heard`; returns the time of the process's previous
     /// heartbeat, if there was one.
-    pub fn hear(
+    pub fn record_heartbeat(
         &mut self,
         process: ProcessId,
         heartbeat: Heartbeat,
@@ -112,15 +116,20 @@
         if !self.peers.contains_key(&process) {
             self.forget_earlier_processes(&heartbeat.host);
         }
-        self.others_load.add(&heartbeat.loads);
-        let holder = Holder::new(&heartbeat.host);
-        let view =
-            PeerView { last: heartbeat, heard, holder, load_counted: true, times_relayed: 0 };
+        self.peer_load.add(&heartbeat.loads);
+        let holder = ShareHolder::new(&heartbeat.host);
+        let view = PeerView {
+            last: heartbeat,
+            last_heard: heard,
+            holder,
+            load_counted: true,
+            times_relayed: 0,
+        };
         let before = self.peers.insert(process, view)?;
         if before.load_counted {
-            self.others_load.subtract(&before.last.loads);
+            self.peer_load.subtract(&before.last.loads);
         }
-        Some(before.heard)
+        Some(before.last_heard)
     }
 
     /// Forgets earlier processes of a host on which a new one has started.
@@ -133,17 +142,17 @@
     /// Forgets another gateway process and subtracts its load.
     pub fn forget_peer(&mut self, process: &ProcessId) {
         if let Some(peer) = self.peers.remove(process).filter(|p| p.load_counted) {
-            self.others_load.subtract(&peer.last.loads);
+            self.peer_load.subtract(&peer.last.loads);
         }
     }
 
     /// Subtracts the load of gateways that have fallen silent.
-    pub fn forget_silent_loads(&mut self, now: Instant) {
+    pub fn subtract_silent_loads(&mut self, now: Instant) {
         let silence = self.peer_silence();
         for peer in self.peers.values_mut().filter(|p| p.load_counted) {
-            if now.saturating_duration_since(peer.heard) >= silence {
+            if now.saturating_duration_since(peer.last_heard) >= silence {
                 peer.load_counted = false;
-                self.others_load.subtract(&peer.last.loads);
+                self.peer_load.subtract(&peer.last.loads);
             }
         }
     }
@@ -151,6 +160,6 @@
     /// Returns the gateways that callers may use.
     pub fn serving_peers(&self, now: Instant) -> impl Iterator<Item = &PeerView> {
         let serves = |p: &&PeerView| p.last.phase == Phase::Serving && p.last.configuration > 0;
-        self.heard(now).filter(serves)
+        self.recently_heard(now).filter(serves)
     }
 }
--- a/src/gateway/board/store.rs
+++ b/src/gateway/board/store.rs
@@ -13,7 +13,7 @@
     #[default]
     Up,
     /// It has not answered since this time.
-    Away(Instant),
+    OutageSince(Instant),
     /// It has answered again since this time.
-    Returned(Instant),
+    RecoveredSince(Instant),
 }
--- a/src/gateway/board/upstream.rs
+++ b/src/gateway/board/upstream.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use crate::gateway::{
-    decide::{Breaker, OutcomeMeter, Removal},
+    decide::{OutcomeMeter, Removal, UpstreamHealth},
     model::{Lifetime, Revision, Upstream, UpstreamPhase},
 };
 
@@ -41,7 +41,7 @@
     /// Load that this process puts on it.
     pub own: Load,
     /// Circuit breaker, fed by the results of this process's requests.
-    pub breaker: Breaker,
+    pub breaker: UpstreamHealth,
     /// Answers and failures that this process has seen.
     pub outcomes: OutcomeMeter,
     /// Set while its row is missing and may return.
@@ -49,16 +49,16 @@
     /// Earliest time at which its row may have started to say that it is draining, if it does.
     pub draining_since: Option<Instant>,
     /// Since when its answers say that it is leaving; `None` if they do not.
-    pub said_leaving: Option<Instant>,
+    pub announced_leaving_since: Option<Instant>,
 }
 
 /// Effect of a newer description of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Described {
+pub enum DescriptionChange {
     /// The upstream was not known.
     New,
     /// The upstream has restarted; its earlier state was discarded.
-    StartedAgain,
+    NewLifetime,
     /// The upstream has started or stopped taking new requests.
     PhaseChanged,
     /// No change that affects decisions.
@@ -78,11 +78,11 @@
             lifetime: upstream.lifetime(),
             upstream,
             own: Load::default(),
-            breaker: Breaker::new(now),
+            breaker: UpstreamHealth::new(now),
             outcomes: OutcomeMeter::new(now),
             missing: None,
             draining_since: None,
-            said_leaving: None,
+            announced_leaving_since: None,
         }
     }
 
@@ -94,17 +94,22 @@
 
     /// Returns whether the upstream has announced in its row or its answers that it is leaving.
     pub fn is_leaving(&self) -> bool {
-        self.upstream.phase == UpstreamPhase::Draining || self.said_leaving.is_some()
+        self.upstream.phase == UpstreamPhase::Draining || self.announced_leaving_since.is_some()
     }
 
     /// Applies a newer description. One without a start time belongs to the known lifetime. `seen`
     /// is when the store was last known not to hold it: the description may have been valid from
     /// then on, even if it arrived much later.
-    pub fn update(&mut self, mut upstream: Upstream, seen: Instant, now: Instant) -> Described {
+    pub fn update(
+        &mut self,
+        mut upstream: Upstream,
+        seen: Instant,
+        now: Instant,
+    ) -> DescriptionChange {
         upstream.born = upstream.born.or(self.upstream.born);
         if upstream.born != self.upstream.born {
             *self = Self { changed: self.changed, ..Self::new(upstream, now) };
-            return Described::StartedAgain;
+            return DescriptionChange::NewLifetime;
         }
         let changed = self.upstream.phase != upstream.phase;
         if changed {
@@ -112,13 +117,16 @@
         }
         self.upstream = upstream;
         self.missing = None;
-        if changed { Described::PhaseChanged } else { Described::Same }
+        if changed { DescriptionChange::PhaseChanged } else { DescriptionChange::Same }
     }
 
     /// Returns whether the upstream still takes requests that no other upstream takes.
     pub fn is_last_resort(&self, now: Instant) -> bool {
         let removed = self.missing.filter(|row| !row.removal.lapsed).map(|row| row.since);
-        let since = [self.draining_since, self.said_leaving, removed].into_iter().flatten().min();
+        let since = [self.draining_since, self.announced_leaving_since, removed]
+            .into_iter()
+            .flatten()
+            .min();
         since.is_some_and(|t| now.saturating_duration_since(t) < LAST_RESORT_PERIOD)
     }
 }
--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -5,7 +5,7 @@
 use super::{
     board::{Board, StoreState},
     controllers::Controllers,
-    decide::{Change, LimitNotice},
+    decide::{LimitAnnouncement, QuarantineChange},
     model::{Followed, Lifetime},
     net::{Phase, Pool, Shutdown},
     peering::ProcessId,
@@ -97,7 +97,7 @@
     }
 
     /// Calls `message`, which queues calls to controllers, and wakes the task that runs them.
-    pub fn tell(&self, message: impl FnOnce(&Controllers)) {
+    pub fn send_to_controllers(&self, message: impl FnOnce(&Controllers)) {
         if let Some(controllers) = self.controllers.borrow().as_ref() {
             message(controllers);
         }
@@ -106,7 +106,7 @@
 
     /// Returns the age of the knowledge of a followed table in milliseconds, for the log; `None` if
     /// it was never read.
-    pub fn age_ms(&self, of: Followed, now: Instant) -> Option<u64> {
+    pub fn knowledge_age_ms(&self, of: Followed, now: Instant) -> Option<u64> {
         self.board.borrow().age(of, now).map(|age| age.as_millis() as u64)
     }
 
@@ -117,17 +117,17 @@
         self.shutdown.phase() == Phase::Serving
             && board.configuration.is_some()
             && board.upstreams_knowledge.is_some()
-            && board.knows_crashes(clock::now())
+            && board.crash_verdicts_ready(clock::now())
     }
 
     /// Logs changed quarantine verdicts on requests that crash upstreams, and updates the metric;
     /// `source` names their origin in the log.
-    pub fn note_verdicts(&self, changes: &[Change], source: &str) {
+    pub fn log_verdicts(&self, changes: &[QuarantineChange], source: &str) {
         for change in changes {
             self.log(&Event::Verdict {
                 digest: &change.digest.to_string(),
                 customer: &change.customer,
-                ends: change.ends,
+                ends: change.crashes,
                 state: if change.quarantined { "quarantined" } else { "released" },
                 source,
             });
@@ -140,7 +140,7 @@
 
     /// Logs and counts that an upstream announced that it is leaving. `request` is the request
     /// whose answer carried the announcement, empty if another gateway passed it on.
-    pub fn log_leaving(&self, upstream: Lifetime, request: &str) {
+    pub fn log_upstream_leaving(&self, upstream: Lifetime, request: &str) {
         let board = self.board.borrow();
         self.log(&Event::SaidLeaving { upstream: board.upstream_name(upstream), request });
         self.metrics.said_leaving.inc();
@@ -148,7 +148,7 @@
 
     /// Logs that the rate limit of an upstream has changed. `request` is the request whose answer
     /// carried the limit, empty if another gateway passed it on.
-    pub fn log_limit(&self, upstream: Lifetime, notice: LimitNotice, request: &str) {
+    pub fn log_rate_limit(&self, upstream: Lifetime, notice: LimitAnnouncement, request: &str) {
         let board = self.board.borrow();
         let upstream = board.upstream_name(upstream);
         self.log(&Event::RateLimit { upstream, rate: notice.rate, request });
@@ -156,22 +156,23 @@
 
     /// Records whether a call to the store succeeded, and logs when the store becomes unavailable
     /// or available again.
-    pub fn note_store(&self, error: Option<&PlatformError>) {
+    pub fn record_store_outcome(&self, error: Option<&PlatformError>) {
         let now = clock::now();
         self.board.borrow_mut().steadiness.note(error.is_none(), now);
         let state = self.board.borrow().store;
         match (state, error) {
-            (StoreState::Away(since), None) => {
-                self.board.borrow_mut().store = StoreState::Returned(now);
+            (StoreState::OutageSince(since), None) => {
+                self.board.borrow_mut().store = StoreState::RecoveredSince(now);
                 let after_ms = now.duration_since(since).as_millis() as u64;
                 self.log(&Event::DependencyRegained { dependency: "store", after_ms });
             }
-            (StoreState::Up | StoreState::Returned(_), Some(error)) => {
-                self.board.borrow_mut().store = StoreState::Away(now);
+            (StoreState::Up | StoreState::RecoveredSince(_), Some(error)) => {
+                self.board.borrow_mut().store = StoreState::OutageSince(now);
                 let error = error.to_string();
                 self.log(&Event::DependencyLost { dependency: "store", error: &error });
             }
-            (StoreState::Away(_), Some(_)) | (StoreState::Up | StoreState::Returned(_), None) => {}
+            (StoreState::OutageSince(_), Some(_))
+            | (StoreState::Up | StoreState::RecoveredSince(_), None) => {}
         }
     }
 }
--- a/src/gateway/controllers/capacity.rs
+++ b/src/gateway/controllers/capacity.rs
@@ -16,8 +16,9 @@
         board::UpstreamView,
         context::Gateway,
         decide::{
-            CapacityInput, Fleet, Mechanism, Need, NeedMeter, OrderBook, OrderKey, OrderState,
-            PaceInput, Wish, engines_needed, needed_at_start, plan_engines,
+            CapacityInput, DesiredEngines, EngineOrders, Fleet, Mechanism, Need, NeedMeter,
+            OrderKey, OrderPacerInput, OrderState, engines_needed, min_engines_at_start,
+            plan_engines,
         },
         model::{Scaling, ServiceName},
         telemetry::Event,
@@ -38,7 +39,7 @@
 pub struct Capacity {
     gateway: Rc<Gateway>,
     timer: stakker::MaxTimerKey,
-    orders: OrderBook,
+    orders: EngineOrders,
     loaded_since: HashMap<ServiceName, Instant>,
     need_meters: HashMap<ServiceName, NeedMeter>,
 }
@@ -51,7 +52,7 @@
         Some(Self {
             gateway,
             timer,
-            orders: OrderBook::default(),
+            orders: EngineOrders::default(),
             loaded_since: HashMap::new(),
             need_meters: HashMap::new(),
         })
@@ -89,7 +90,7 @@
     /// wave of reclaims released reclaimable engines that were not available again.
     fn inherited_need(&self, service: &ServiceName, now: Instant) -> f64 {
         let up = now.saturating_duration_since(self.gateway.started);
-        let kept = self.gateway.board.borrow().kept_needs.get(service).copied();
+        let kept = self.gateway.board.borrow().previous_holder_needs.get(service).copied();
         kept.filter(|_| up < STARTUP_WINDOW).unwrap_or_default()
     }
 
@@ -123,8 +124,8 @@
         let busy = board.busy(service, board.speed(service, &settings.off), now);
         let current = engines_needed(busy, board.slots(service), settings.capacity.safety);
         let meter = self.need_meters.entry(service.clone()).or_insert_with(|| NeedMeter::new(boot));
-        let need = meter.note(current, now);
-        match settings.off.is_on(Mechanism::NeedPeak) {
+        let need = meter.record_need(current, now);
+        match settings.off.is_enabled(Mechanism::NeedPeak) {
             true => need,
             false => Need { engines: current, reclaimable: current },
         }
@@ -135,21 +136,21 @@
         let needed = need.engines.max(inherited);
         let need = Need { engines: needed, ..need };
         self.gateway.board.borrow_mut().capacity.needs.insert(service.clone(), needed);
-        let dry = self.orders.is_dry(service, now);
+        let dry = self.orders.is_reclaimable_unavailable(service, now);
         for (data_centre, wish, fleet) in self.fleet_targets(service, scaling, need, now) {
             for (reclaimable, wished, serving) in counts_by_kind(wish, fleet) {
                 let (service, data_centre) = (service.clone(), data_centre.clone());
                 let key = OrderKey { service, data_centre, reclaimable };
-                let input = PaceInput {
-                    wished,
+                let input = OrderPacerInput {
+                    target_count: wished,
                     serving,
                     reclaimable,
-                    dry,
+                    reclaimable_unavailable: dry,
                     idle: needed <= 0.0,
                     load_known: inherited <= 0.0,
                     boot: scaling.boot,
                 };
-                if let Some(count) = self.orders.next(&key, &input, now) {
+                if let Some(count) = self.orders.next_order_count(&key, &input, now) {
                     spawn_local(send_order(self.gateway.clone(), key, count, needed));
                 }
             }
@@ -163,20 +164,20 @@
         scaling: &Scaling,
         need: Need,
         now: Instant,
-    ) -> Vec<(DataCentre, Wish, Fleet)> {
+    ) -> Vec<(DataCentre, DesiredEngines, Fleet)> {
         let settings = self.gateway.settings.borrow();
         let policy = &settings.capacity.policy;
         let exposure = settings.bounds.exposure;
         let board = self.gateway.board.borrow();
-        let mut fleets = fleets(board.carrying(service, exposure, now), scaling);
+        let mut fleets = fleets(board.carrying_traffic(service, exposure, now), scaling);
         drop(board);
-        self.orders.expect(service, &mut fleets, scaling.boot, now);
-        let floor = self.startup_floor(service, needed_at_start(scaling, policy), now);
+        self.orders.add_expected_engines(service, &mut fleets, scaling.boot, now);
+        let floor = self.startup_floor(service, min_engines_at_start(scaling, policy), now);
         let input = CapacityInput {
             need: Need { engines: need.engines.max(floor), ..need },
             scaling,
             fleets: &fleets,
-            losses: if settings.off.is_on(Mechanism::LossCover) { policy.losses } else { 0 },
+            losses: if settings.off.is_enabled(Mechanism::LossCover) { policy.losses } else { 0 },
             before_load: !self.loaded_since.contains_key(service),
         };
         let wishes = plan_engines(&input, policy).into_iter();
@@ -196,7 +197,7 @@
             Ok(OrderOutcome::NoneAvailable) => OrderState::Refused,
             Err(_) => OrderState::Unknown,
         };
-        self.orders.answered(&key, count, state);
+        self.orders.record_order_result(&key, count, state);
         if state == OrderState::Refused {
             // Engines ordered instead take as long to boot as the refused ones would have, so the
             // next order is not delayed further.
@@ -207,7 +208,7 @@
 
 /// Returns for each kind of engine whether it is reclaimable, the wanted count and the serving
 /// count.
-fn counts_by_kind(wish: Wish, fleet: Fleet) -> [(bool, u32, u32); 2] {
+fn counts_by_kind(wish: DesiredEngines, fleet: Fleet) -> [(bool, u32, u32); 2] {
     [(true, wish.reclaimable, fleet.reclaimable), (false, wish.on_demand, fleet.on_demand)]
 }
 
@@ -236,7 +237,7 @@
         Err(_) => "failed",
     };
     telemetry::count(&gateway.metrics.orders, label);
-    gateway.tell(|c| call!([c.capacity], order_completed(key, count, outcome)));
+    gateway.send_to_controllers(|c| call!([c.capacity], order_completed(key, count, outcome)));
 }
 
 fn fleets<'a>(
--- a/src/gateway/controllers/configuration.rs
+++ b/src/gateway/controllers/configuration.rs
@@ -8,7 +8,7 @@
 
 use super::Source;
 use crate::{
-    gateway::{context::Gateway, decide::Knowledge, telemetry::Event},
+    gateway::{context::Gateway, decide::SyncPoint, telemetry::Event},
     platform::decode_configuration,
 };
 
@@ -26,7 +26,7 @@
 
     /// Records the store position up to which the configuration is known. Sent after all documents
     /// up to that position.
-    pub fn advance_knowledge(&mut self, _: CX![], knowledge: Knowledge) {
+    pub fn advance_knowledge(&mut self, _: CX![], knowledge: SyncPoint) {
         let mut board = self.gateway.board.borrow_mut();
         board.configuration_knowledge.get_or_insert(knowledge).advance(knowledge);
     }
--- a/src/gateway/controllers/crashes.rs
+++ b/src/gateway/controllers/crashes.rs
@@ -12,14 +12,14 @@
 use tokio::{net::UdpSocket, task::spawn_local};
 
 use super::{
-    asking::{ask, sample},
-    kept::QUARANTINE_KEY,
+    peer_requests::{get_from_peer, sample},
+    persisted_state::QUARANTINE_KEY,
 };
 use crate::{
     gateway::{
-        board::{HEARD_A_PERIOD, HEARTBEAT_PERIOD},
+        board::{HEARTBEAT_PERIOD, HEARTBEAT_REACH},
         context::Gateway,
-        decide::{CrashNews, DIRECT, VerdictReport},
+        decide::{CrashGossip, HEARTBEAT_FAN_OUT, VerdictReport},
         model::Revision,
         peering::{CrashNotice, decode_verdicts, encode_verdicts},
     },
@@ -96,8 +96,8 @@
         let time = board.clock.unix_millis(now);
         let changes = board.crashes.judge_suspects(time, now);
         drop(board);
-        self.gateway.note_verdicts(&changes, "own");
-        self.send(HEARD_A_PERIOD, now);
+        self.gateway.log_verdicts(&changes, "own");
+        self.send(HEARTBEAT_REACH, now);
         self.write_verdicts(now);
         self.grant_turn(now);
         self.fetch_missing_verdicts(now);
@@ -107,8 +107,8 @@
     /// process sends no requests to upstreams before.
     fn fetch_missing_verdicts(&mut self, now: Instant) {
         let board = self.gateway.board.borrow();
-        let missing = !board.verdicts_known;
-        let heard: Vec<SocketAddr> = board.heard(now).map(|p| p.last.peers).collect();
+        let missing = !board.crash_verdicts_known;
+        let heard: Vec<SocketAddr> = board.recently_heard(now).map(|p| p.last.peers).collect();
         drop(board);
         if let Some(from) = fastrand::choice(heard).filter(|_| missing) {
             self.fetch(from, now);
@@ -116,11 +116,11 @@
     }
 
     /// Sends what is new to other gateways at once.
-    pub fn tell_now(&mut self, cx: CX![]) {
+    pub fn send_now(&mut self, cx: CX![]) {
         let now = cx.now();
         let due = self.last_sent.map_or(now, |sent| sent + MIN_IMMEDIATE_INTERVAL);
         if due > now {
-            timer_min!(&mut self.immediate_timer, due, [cx], tell_now());
+            timer_min!(&mut self.immediate_timer, due, [cx], send_now());
             return;
         }
         self.last_sent = Some(now);
@@ -133,17 +133,17 @@
         let Some(gossip) = gossip else {
             return;
         };
-        let heard: Vec<SocketAddr> = board.heard(now).map(|p| p.last.heartbeats).collect();
+        let heard: Vec<SocketAddr> = board.recently_heard(now).map(|p| p.last.heartbeats).collect();
         drop(board);
         let only_fingerprint =
-            CrashNews { fingerprint: gossip.fingerprint, ..CrashNews::default() } == gossip;
+            CrashGossip { fingerprint: gossip.fingerprint, ..CrashGossip::default() } == gossip;
         if only_fingerprint
-            && max_receivers == HEARD_A_PERIOD
+            && max_receivers == HEARTBEAT_REACH
             && !self.heartbeats.is_multiple_of(HEARTBEATS_PER_FINGERPRINT)
         {
             return;
         }
-        let max_receivers = if only_fingerprint { DIRECT } else { max_receivers };
+        let max_receivers = if only_fingerprint { HEARTBEAT_FAN_OUT } else { max_receivers };
         self.send_to(gossip, false, &sample(&heard, max_receivers));
     }
 
@@ -155,7 +155,7 @@
             return;
         }
         let mut all: Vec<Option<SocketAddr>> =
-            board.heard(now).map(|p| Some(p.last.heartbeats)).collect();
+            board.recently_heard(now).map(|p| Some(p.last.heartbeats)).collect();
         // `None` stands for this process, which gets turns as well.
         all.push(None);
         match fastrand::choice(all).flatten() {
@@ -168,7 +168,7 @@
         }
     }
 
-    fn send_to(&mut self, gossip: CrashNews, your_turn: bool, addresses: &[SocketAddr]) {
+    fn send_to(&mut self, gossip: CrashGossip, your_turn: bool, addresses: &[SocketAddr]) {
         self.number += 1;
         let peers = self.gateway.settings.borrow().listen.peers;
         let process = self.gateway.process.clone();
@@ -206,7 +206,7 @@
         let changes = board.crashes.merge_gossip(&process, number, gossip, time, now);
         let own_fingerprint = board.crashes.fingerprint();
         drop(board);
-        self.gateway.note_verdicts(&changes, &process);
+        self.gateway.log_verdicts(&changes, &process);
         if fingerprint != own_fingerprint && fingerprint != 0 {
             self.fetch(peers, now);
         }
@@ -222,12 +222,12 @@
         self.last_fetch = Some(now);
         let (gateway, fetching) = (self.gateway.clone(), self.fetching.clone());
         spawn_local(async move {
-            if let Some(bytes) = ask(from, "/peer/quarantine").await {
+            if let Some(bytes) = get_from_peer(from, "/peer/quarantine").await {
                 match decode_verdicts(&bytes) {
                     Ok(verdicts) => {
-                        gateway.tell(|c| {
+                        gateway.send_to_controllers(|c| {
                             call!([c.crashes], merge_verdicts(verdicts, "peer"));
-                            call!([c.crashes], verdicts_known());
+                            call!([c.crashes], crash_verdicts_known());
                         });
                     }
                     Err(e) => log::error!("verdicts from gateway {from} cannot be decoded: {e}"),
@@ -248,11 +248,11 @@
         let time = board.clock.unix_millis(cx.now());
         let changes = board.crashes.merge(verdicts, time, cx.now());
         drop(board);
-        self.gateway.note_verdicts(&changes, source);
+        self.gateway.log_verdicts(&changes, source);
     }
 
     /// Merges the verdicts from the store.
-    pub fn recalled(&mut self, cx: CX![], row: StoreRow) {
+    pub fn verdicts_read(&mut self, cx: CX![], row: StoreRow) {
         match decode_verdicts(&row.value) {
             Ok(verdicts) => {
                 self.stored.fingerprint = fingerprint_of(&verdicts, cx.now());
@@ -265,8 +265,8 @@
     }
 
     /// Records that the store, or another gateway, has supplied the verdicts.
-    pub fn verdicts_known(&mut self, _: CX![]) {
-        self.gateway.board.borrow_mut().verdicts_known = true;
+    pub fn crash_verdicts_known(&mut self, _: CX![]) {
+        self.gateway.board.borrow_mut().crash_verdicts_known = true;
     }
 
     /// Writes the verdicts to the store if they differ from the stored ones, as the holder of the
@@ -301,10 +301,10 @@
         let gateway = self.gateway.clone();
         spawn_local(async move {
             let outcome = gateway.store.write(&[row]).await;
-            gateway.note_store(outcome.as_ref().err());
+            gateway.record_store_outcome(outcome.as_ref().err());
             let call = if outcome.is_ok() { "quarantine" } else { "quarantine_failed" };
             count(&gateway.metrics.platform_calls, call);
-            gateway.tell(|c| call!([c.crashes], written(fingerprint, outcome)));
+            gateway.send_to_controllers(|c| call!([c.crashes], written(fingerprint, outcome)));
         });
     }
 
@@ -324,7 +324,7 @@
             // Another holder has written: its verdicts are merged before the next attempt.
             Ok(WriteOutcome::Conflict(rows)) => {
                 match rows.into_iter().find(|r| r.key == QUARANTINE_KEY) {
-                    Some(row) => self.recalled(cx, row),
+                    Some(row) => self.verdicts_read(cx, row),
                     None => self.stored.revision = 0,
                 }
                 self.stored.last_attempt = None;
@@ -337,7 +337,7 @@
 
 /// Returns the fingerprint of these verdicts.
 fn fingerprint_of(verdicts: &[VerdictReport], now: Instant) -> u64 {
-    let mut tracker = crate::gateway::decide::CrashBook::default();
+    let mut tracker = crate::gateway::decide::CrashTracker::default();
     tracker.merge(verdicts.to_vec(), 0, now);
     tracker.fingerprint()
 }
--- a/src/gateway/controllers/directory.rs
+++ b/src/gateway/controllers/directory.rs
@@ -17,9 +17,9 @@
 
 use crate::{
     gateway::{
-        board::Described,
+        board::DescriptionChange,
         context::Gateway,
-        decide::{Knowledge, Removal},
+        decide::{Removal, SyncPoint},
         model::{Lifetime, Revision, Upstream, UpstreamPhase},
         peering::{RecentChanges, UpstreamChange, UpstreamSnapshot},
         telemetry::Event,
@@ -52,7 +52,7 @@
     }
 
     /// Replaces the list with all rows of the store's table.
-    pub fn snapshot(&mut self, cx: CX![], snapshot: Snapshot) {
+    pub fn apply_snapshot(&mut self, cx: CX![], snapshot: Snapshot) {
         let upstreams: Vec<Upstream> =
             snapshot.rows.iter().filter_map(|r| self.decode(r)).collect();
         let listed: BTreeSet<&UpstreamId> = snapshot.rows.iter().map(|r| &r.key).collect();
@@ -62,7 +62,7 @@
         // A removal leaves no row. If an upstream is no longer listed, the last change is taken to
         // be as new as the snapshot, so that other gateways learn that they lack a change.
         let last_change = if self.lists_all_known(&upstreams) { written } else { position };
-        let knowledge = Knowledge { position, as_of: snapshot.as_of };
+        let knowledge = SyncPoint { position, as_of: snapshot.as_of };
         let snapshot =
             UpstreamSnapshot { knowledge, last_change, upstreams, ..UpstreamSnapshot::default() };
         let seen = knowledge.as_of;
@@ -82,7 +82,7 @@
 
     /// Applies the list of another gateway, or its changes since a revision. An upstream that is
     /// absent there is removed at once: that gateway already waited for rows that may come back.
-    pub fn copy(&mut self, cx: CX![], snapshot: UpstreamSnapshot) {
+    pub fn apply_peer_snapshot(&mut self, cx: CX![], snapshot: UpstreamSnapshot) {
         if snapshot.after > 0 {
             self.apply_change_set(snapshot, cx.now());
             return;
@@ -107,7 +107,7 @@
 
     /// Applies recent changes from another gateway's heartbeat, unless earlier changes are missing
     /// here. Even without changes, the list is then known up to the sender's position.
-    pub fn follow(&mut self, cx: CX![], recent: RecentChanges) {
+    pub fn apply_peer_changes(&mut self, cx: CX![], recent: RecentChanges) {
         let now = cx.now();
         let knowledge = self.gateway.board.borrow().upstreams_knowledge;
         let Some(known) = knowledge.map(|k| k.position).filter(|known| recent.after <= *known)
@@ -171,7 +171,7 @@
     }
 
     /// Applies changes from the store's feed, except those already received from another gateway.
-    pub fn changes(&mut self, cx: CX![], feed: Feed) {
+    pub fn apply_feed(&mut self, cx: CX![], feed: Feed) {
         let now = cx.now();
         let known = self.gateway.board.borrow().upstreams_position();
         let mut last_change = 0;
@@ -193,7 +193,7 @@
                 Change::Written(_) | Change::Removed(..) => {}
             }
         }
-        let knowledge = Knowledge { position: feed.revision, as_of: feed.as_of };
+        let knowledge = SyncPoint { position: feed.revision, as_of: feed.as_of };
         self.advance(knowledge, last_change);
     }
 
@@ -209,8 +209,8 @@
         let serving = board.upstreams.values().filter(|v| v.takes_work()).count();
         let missing = board.upstreams.values().filter(|v| v.missing.is_some()).count();
         self.gateway.metrics.missing_rows.set(missing as i64);
-        self.gateway.metrics.rate_limited.set(board.limits.limited() as i64);
-        self.gateway.metrics.resting.set(board.rests.resting(now) as i64);
+        self.gateway.metrics.rate_limited.set(board.limits.count_limited() as i64);
+        self.gateway.metrics.resting.set(board.rests.count_active(now) as i64);
         drop(board);
         self.gateway.pool.sweep(now, |lifetime| known.contains(&lifetime));
         self.gateway.metrics.upstreams.set(serving as i64);
@@ -251,14 +251,18 @@
         board.recent_changes.push(revision, UpstreamChange::Written(upstream.clone()), now);
         let known = board.upstreams.get(&upstream.id);
         let was_missing = known.is_some_and(|v| v.missing.is_some());
-        let described = board.describe_at(upstream.clone(), revision, now);
+        let described = board.apply_description_at(upstream.clone(), revision, now);
         drop(board);
         let state = match (described, upstream.phase) {
-            (Described::Same, _) if was_missing => "back",
-            (Described::Same, _) => return,
-            (Described::StartedAgain, _) => "started_again",
-            (Described::New | Described::PhaseChanged, UpstreamPhase::Ready) => "ready",
-            (Described::New | Described::PhaseChanged, UpstreamPhase::Draining) => "draining",
+            (DescriptionChange::Same, _) if was_missing => "back",
+            (DescriptionChange::Same, _) => return,
+            (DescriptionChange::NewLifetime, _) => "started_again",
+            (DescriptionChange::New | DescriptionChange::PhaseChanged, UpstreamPhase::Ready) => {
+                "ready"
+            }
+            (DescriptionChange::New | DescriptionChange::PhaseChanged, UpstreamPhase::Draining) => {
+                "draining"
+            }
         };
         self.log(&upstream, state, revision);
     }
@@ -286,7 +290,7 @@
         });
     }
 
-    fn advance(&self, knowledge: Knowledge, last_change: Revision) {
+    fn advance(&self, knowledge: SyncPoint, last_change: Revision) {
         self.mark_lapsed();
         let mut board = self.gateway.board.borrow_mut();
         board.note_list_read(knowledge.as_of);
@@ -295,7 +299,7 @@
         board.recent_changes.advance(knowledge);
         drop(board);
         if last_change > 0 {
-            self.gateway.tell(|c| call!([c.capacity], fleet_changed()));
+            self.gateway.send_to_controllers(|c| call!([c.capacity], fleet_changed()));
         }
     }
 }
--- a/src/gateway/controllers/duties.rs
+++ b/src/gateway/controllers/duties.rs
@@ -14,15 +14,15 @@
 use tokio::task::spawn_local;
 
 use super::{
-    kept::{PERSIST_PERIOD, persist, state_row},
+    persisted_state::{PERSIST_PERIOD, persist, state_row},
     usage_report::send_usage_report,
 };
 use crate::{
     control::{HeardClaim, Lease, LeaseAction, LeaseRow, LeaseTiming},
     gateway::{
-        board::{HEARD_A_PERIOD, HEARTBEAT_PERIOD, OwnLease},
+        board::{HEARTBEAT_PERIOD, HEARTBEAT_REACH, OwnLease},
         context::Gateway,
-        decide::{Window, wait_after_takeover},
+        decide::{WindowNumber, wait_after_takeover},
         net::Phase,
         telemetry::Event,
     },
@@ -76,7 +76,7 @@
     last_renewal: Option<Instant>,
     /// When another process was last known to hold the lease.
     holder_last_heard: Instant,
-    reports: BTreeMap<Window, ReportState>,
+    reports: BTreeMap<WindowNumber, ReportState>,
     /// When state for later processes was last persisted.
     last_persisted: Option<Instant>,
     /// When this process acquired the lease; before that, when it started.
@@ -109,7 +109,7 @@
         let now = cx.now();
         timer_max!(&mut self.timer, now + CHECK_PERIOD, [cx], tick());
         let window = self.window(now);
-        self.gateway.board.borrow_mut().usage.open(&self.gateway.process, window);
+        self.gateway.board.borrow_mut().usage.open_window(&self.gateway.process, window);
         self.check_lease(now);
         if self.gateway.board.borrow().lease.may_act(now).is_some() {
             if self.has_received_counts(now) {
@@ -123,13 +123,13 @@
     /// acquired the lease.
     fn has_received_counts(&self, now: Instant) -> bool {
         let processes = 1 + self.gateway.board.borrow().peers.len();
-        let wait = wait_after_takeover(processes, HEARD_A_PERIOD, HEARTBEAT_PERIOD);
+        let wait = wait_after_takeover(processes, HEARTBEAT_REACH, HEARTBEAT_PERIOD);
         now.saturating_duration_since(self.acquired) >= wait
     }
 
     /// Persists quotas and usage every [`PERSIST_PERIOD`], once there has been load.
     fn persist_if_due(&mut self, now: Instant) {
-        if !self.gateway.board.borrow().has_had_load() {
+        if !self.gateway.board.borrow().has_seen_load() {
             return;
         }
         if self.last_persisted.is_none_or(|t| now.saturating_duration_since(t) >= PERSIST_PERIOD) {
@@ -138,7 +138,7 @@
         }
     }
 
-    fn window(&self, now: Instant) -> Window {
+    fn window(&self, now: Instant) -> WindowNumber {
         let length = self.gateway.settings.borrow().bounds.usage_window;
         self.gateway.board.borrow().clock.unix_millis(now) / length.as_millis().max(1) as u64
     }
@@ -184,7 +184,7 @@
         let Some(own) = board.lease.own.filter(|own| !own.given_up) else {
             return false;
         };
-        let others_reach = board.heard(now).any(|p| p.last.store_answers);
+        let others_reach = board.recently_heard(now).any(|p| p.last.store_answers);
         let old = now.saturating_duration_since(own.sent) >= GIVE_UP_AFTER;
         now >= own.until || (others_reach && old)
     }
@@ -197,14 +197,14 @@
         drop(board);
         self.gateway.metrics.lease.set(0);
         self.gateway.log(&Event::Lease { fence, state: "given_up" });
-        self.gateway.tell(|c| call!([c.peers], tell_now()));
+        self.gateway.send_to_controllers(|c| call!([c.peers], send_now()));
     }
 
     /// Returns whether this process gave up the lease so recently that it must leave it to the
     /// other processes that it hears: two holders may not act alternately.
     fn held_recently(&self, now: Instant) -> bool {
         let own = self.gateway.board.borrow().lease.own;
-        let others = self.gateway.board.borrow().heard(now).next().is_some();
+        let others = self.gateway.board.borrow().recently_heard(now).next().is_some();
         others && own.is_some_and(|own| own.given_up && now < own.until + self.timing.ttl)
     }
 
@@ -215,7 +215,7 @@
 
     /// Returns whether recent heartbeats show that another process holds the lease.
     fn hears_holder(&mut self, now: Instant) -> bool {
-        let heard = self.gateway.board.borrow().heard(now).any(|p| p.last.holds_lease());
+        let heard = self.gateway.board.borrow().recently_heard(now).any(|p| p.last.holds_lease());
         if heard {
             self.holder_last_heard = now;
             // An observation of the row says nothing about the holder that follows this one.
@@ -230,8 +230,9 @@
     fn suspects_holder(&self, now: Instant) -> bool {
         let board = self.gateway.board.borrow();
         let own = &self.gateway.process;
-        let before = board.heard(now).filter(|p| p.last.store_answers && p.last.process() < *own);
-        let given_up = board.heard(now).any(|p| p.last.lease.is_some_and(|c| c.given_up));
+        let before =
+            board.recently_heard(now).filter(|p| p.last.store_answers && p.last.process() < *own);
+        let given_up = board.recently_heard(now).any(|p| p.last.lease.is_some_and(|c| c.given_up));
         let silence = if given_up { Duration::ZERO } else { SUSPECT_AFTER };
         let wait = silence + SUSPECT_STEP * before.count() as u32;
         now.saturating_duration_since(self.holder_last_heard) >= wait
@@ -247,13 +248,13 @@
         let gateway = self.gateway.clone();
         spawn_local(async move {
             let read = gateway.store.snapshot(Table::Duties).await;
-            gateway.note_store(read.as_ref().err());
+            gateway.record_store_outcome(read.as_ref().err());
             count(
                 &gateway.metrics.platform_calls,
                 if read.is_ok() { "lease_read" } else { "lease_read_failed" },
             );
             let row = read.map(|s| s.rows.into_iter().find(|r| r.key == LEASE_KEY));
-            gateway.tell(|c| call!([c.duties], lease_read(row)));
+            gateway.send_to_controllers(|c| call!([c.duties], lease_read(row)));
         });
     }
 
@@ -296,12 +297,12 @@
         }
         spawn_local(async move {
             let outcome = gateway.store.write(&writes).await;
-            gateway.note_store(outcome.as_ref().err());
+            gateway.record_store_outcome(outcome.as_ref().err());
             count(
                 &gateway.metrics.platform_calls,
                 if outcome.is_ok() { "lease_write" } else { "lease_write_failed" },
             );
-            gateway.tell(|c| call!([c.duties], lease_written(row, sent, outcome)));
+            gateway.send_to_controllers(|c| call!([c.duties], lease_written(row, sent, outcome)));
         });
     }
 
@@ -319,7 +320,7 @@
         spawn_local(async move {
             persist(gateway.clone()).await;
             let written = gateway.store.write(&[lease_write(&row, row_version)]).await;
-            gateway.note_store(written.as_ref().err());
+            gateway.record_store_outcome(written.as_ref().err());
             if let Err(e) = written {
                 log::warn!("the lease was not released and will expire: {e}");
             }
@@ -375,8 +376,8 @@
         let time = self.gateway.board.borrow().clock.unix_millis(now);
         let final_before =
             time.saturating_sub(SETTLE_TIME.as_millis() as u64) / length.as_millis().max(1) as u64;
-        let windows = self.gateway.board.borrow().usage.counted_before(final_before);
-        let known: BTreeSet<Window> = windows.iter().copied().collect();
+        let windows = self.gateway.board.borrow().usage.windows_before(final_before);
+        let known: BTreeSet<WindowNumber> = windows.iter().copied().collect();
         self.reports.retain(|w, _| known.contains(w));
         for window in windows {
             let due = match self.reports.get(&window) {
@@ -395,7 +396,7 @@
     }
 
     /// Records whether a report was delivered.
-    pub fn report_completed(&mut self, cx: CX![], window: Window, done: bool) {
+    pub fn report_completed(&mut self, cx: CX![], window: WindowNumber, done: bool) {
         let state = if done { ReportState::Done } else { ReportState::Failed(cx.now()) };
         self.reports.insert(window, state);
     }
--- a/src/gateway/controllers/graceful_shutdown.rs
+++ b/src/gateway/controllers/graceful_shutdown.rs
@@ -41,7 +41,7 @@
         }
         self.began = Some(cx.now());
         self.enter(Phase::Leaving);
-        self.gateway.tell(|c| call!([c.peers], tell_now()));
+        self.gateway.send_to_controllers(|c| call!([c.peers], send_now()));
         call!([cx], tick());
     }
 
--- a/src/gateway/controllers/heartbeat_sender.rs
+++ b/src/gateway/controllers/heartbeat_sender.rs
@@ -10,14 +10,15 @@
 
 use tokio::net::UdpSocket;
 
-use super::asking::sample;
+use super::peer_requests::sample;
 use crate::{
     gateway::{
-        board::{HEARD_A_PERIOD, PeerView, StoreState},
+        board::{HEARTBEAT_REACH, PeerView, StoreState},
         context::Gateway,
         decide::{
-            Counts, DIRECT, FAR_BYTES, NEAR_BYTES, Receivers, Window, beats_a_report, far_shares,
-            receivers, turns,
+            HEARTBEAT_FAN_OUT, MAX_FAR_DATAGRAM_BYTES, MAX_NEAR_DATAGRAM_BYTES, ReceiverCount,
+            UsageCounts, WindowNumber, choose_receiver_count, heartbeats_per_report,
+            receivers_per_data_centre, rotating_receivers,
         },
         peering::{Heartbeat, PrefixReport, datagrams},
     },
@@ -114,7 +115,8 @@
         // them may be the next holder.
         let processes = 1 + self.gateway.board.borrow().peers.len();
         heartbeat.prefixes = self.prefix_reports(processes);
-        let reports_usage = self.number.is_multiple_of(beats_a_report(processes, HEARD_A_PERIOD));
+        let reports_usage =
+            self.number.is_multiple_of(heartbeats_per_report(processes, HEARTBEAT_REACH));
         let recipients = self.recipients(reports_usage, now);
         if self.number.is_multiple_of(USAGE_INTERVAL) {
             heartbeat.usage = self.usage();
@@ -123,8 +125,8 @@
             true => self.relayed_heartbeats(now),
             false => Default::default(),
         };
-        self.send_to(&heartbeat, &recipients.near, &all, NEAR_BYTES);
-        self.send_to(&heartbeat, &recipients.far, &near, FAR_BYTES);
+        self.send_to(&heartbeat, &recipients.near, &all, MAX_NEAR_DATAGRAM_BYTES);
+        self.send_to(&heartbeat, &recipients.far, &near, MAX_FAR_DATAGRAM_BYTES);
         if let Some(holder) = recipients.holder {
             heartbeat.usage = self.usage();
             self.send_to(&heartbeat, &[holder], &[], 0);
@@ -136,7 +138,7 @@
     fn prefix_reports(&mut self, processes: usize) -> Vec<PrefixReport> {
         let newest = std::mem::take(&mut self.gateway.board.borrow_mut().sent_prefixes);
         self.recent_prefixes.push_front(newest);
-        self.recent_prefixes.truncate(processes.div_ceil(HEARD_A_PERIOD));
+        self.recent_prefixes.truncate(processes.div_ceil(HEARTBEAT_REACH));
         self.recent_prefixes.iter().flatten().cloned().collect()
     }
 
@@ -166,7 +168,7 @@
     /// Returns the encoded heartbeats to relay: those of this data centre, and all of them.
     fn relayed_heartbeats(&self, now: Instant) -> (Vec<Vec<u8>>, Vec<Vec<u8>>) {
         let own = self.gateway.settings.borrow().data_centre.clone();
-        let heartbeats = self.gateway.board.borrow_mut().to_pass_on(&own, now);
+        let heartbeats = self.gateway.board.borrow_mut().heartbeats_to_relay(&own, now);
         let mut near = Vec::new();
         let mut all = Vec::new();
         for (is_near, heartbeat) in heartbeats {
@@ -183,8 +185,8 @@
         (near, all)
     }
 
-    fn usage(&self) -> Vec<(Window, Counts)> {
-        let mut usage = self.gateway.board.borrow().usage.of_process(&self.gateway.process);
+    fn usage(&self) -> Vec<(WindowNumber, UsageCounts)> {
+        let mut usage = self.gateway.board.borrow().usage.process_windows(&self.gateway.process);
         usage.truncate(USAGE_WINDOWS);
         usage
     }
@@ -195,7 +197,7 @@
     fn recipients(&self, reports_usage: bool, now: Instant) -> Recipients {
         let own = self.gateway.settings.borrow().data_centre.clone();
         let board = self.gateway.board.borrow();
-        let holder = board.heard(now).find(|p| p.last.holds_lease());
+        let holder = board.recently_heard(now).find(|p| p.last.holds_lease());
         let holder = holder.map(|p| p.last.heartbeats).filter(|_| reports_usage);
         if self.startup_left > 0 {
             let others = self.addresses.iter().filter(|a| Some(**a) != holder);
@@ -203,7 +205,7 @@
             let far = sample(&all, STARTUP_FAN_OUT);
             return Recipients { far, holder, ..Recipients::default() };
         }
-        let heard: Vec<&PeerView> = board.heard(now).collect();
+        let heard: Vec<&PeerView> = board.recently_heard(now).collect();
         let mut near = Vec::new();
         let mut far: BTreeMap<&DataCentre, Vec<SocketAddr>> = BTreeMap::new();
         for last in heard.iter().map(|p| &p.last).filter(|l| Some(l.heartbeats) != holder) {
@@ -213,11 +215,11 @@
             }
         }
         let sizes: Vec<usize> = far.values().map(Vec::len).collect();
-        let all = Receivers { near: near.len(), far: sizes.iter().sum() };
-        let most = receivers(all.near, all.far);
-        let shares = far_shares(&sizes, most.far, self.number);
+        let all = ReceiverCount { near: near.len(), far: sizes.iter().sum() };
+        let most = choose_receiver_count(all.near, all.far);
+        let shares = receivers_per_data_centre(&sizes, most.far, self.number);
         let mut chosen = Recipients {
-            near: turns(near.len(), most.near, self.number).map(|i| near[i]).collect(),
+            near: rotating_receivers(near.len(), most.near, self.number).map(|i| near[i]).collect(),
             far: far.values().zip(shares).flat_map(|(a, max)| sample(a, max)).collect(),
             holder,
             is_partial: most != all,
@@ -226,7 +228,7 @@
             let is_heard = |a: &SocketAddr| heard.iter().any(|p| p.last.heartbeats == *a);
             let silent: Vec<SocketAddr> =
                 self.addresses.iter().filter(|a| !is_heard(a)).copied().collect();
-            chosen.far.extend(sample(&silent, DIRECT));
+            chosen.far.extend(sample(&silent, HEARTBEAT_FAN_OUT));
         }
         chosen
     }
@@ -248,7 +250,7 @@
             store_now: board.store_clock.now(now),
             upstreams: board.upstreams_last_change,
             recent: board.recent_changes.clone(),
-            store_answers: !matches!(board.store, StoreState::Away(_)),
+            store_answers: !matches!(board.store, StoreState::OutageSince(_)),
             store_steady: board.steadiness.is_steady(now),
             up_ms: now.saturating_duration_since(self.gateway.started).as_millis() as u64,
             time: board.clock.unix_millis(now),
--- a/src/gateway/controllers/knowledge_age.rs
+++ b/src/gateway/controllers/knowledge_age.rs
@@ -5,7 +5,7 @@
 
 use crate::gateway::{
     context::Gateway,
-    decide::OLD,
+    decide::KNOWLEDGE_OLD_AFTER,
     model::Followed,
     telemetry::{Event, KnowledgeLabels},
 };
@@ -30,12 +30,12 @@
             let (of, labels) = (followed.name(), KnowledgeLabels::new(followed));
             gateway.metrics.knowledge_age.get_or_create(&labels).set(age.as_secs_f64());
             match *stale_since {
-                None if age >= OLD => {
+                None if age >= KNOWLEDGE_OLD_AFTER => {
                     *stale_since = Some(now);
                     let age_ms = age.as_millis() as u64;
                     gateway.log(&Event::KnowledgeOld { of, age_ms, position });
                 }
-                Some(since) if age < OLD => {
+                Some(since) if age < KNOWLEDGE_OLD_AFTER => {
                     *stale_since = None;
                     let after_ms = now.saturating_duration_since(since).as_millis() as u64;
                     gateway.log(&Event::KnowledgeFresh { of, after_ms, position });
--- a/src/gateway/controllers/missing_rows.rs
+++ b/src/gateway/controllers/missing_rows.rs
@@ -6,7 +6,7 @@
 use super::{Source, directory::Directory};
 use crate::{
     gateway::{
-        board::{MissingRow, Noted, UpstreamView},
+        board::{MissingRow, MissingRowChange, UpstreamView},
         decide::{Removal, StoreMillis},
         model::{Revision, Upstream},
         peering::UpstreamChange,
@@ -41,7 +41,7 @@
     pub(super) fn handle_peer_removal(&self, id: &UpstreamId, removal: Removal, now: Instant) {
         // If this gateway or one that it hears saw the store available all along, the reporting
         // gateway was merely partitioned, and the row is gone for good.
-        let store_was_up = self.gateway.board.borrow().store_was_there(now);
+        let store_was_up = self.gateway.board.borrow().store_was_available(now);
         match store_was_up {
             true => self.remove(id, removal.revision, now),
             false => self.mark_missing(id, removal, Source::Peer, now),
@@ -85,12 +85,12 @@
         let board = &mut *guard;
         let missing = |row: MissingRow| UpstreamChange::Missing(id.clone(), row.removal);
         let new = match board.note_missing(id, removal, now) {
-            Noted::Known => return,
-            Noted::Changed(row) => {
+            MissingRowChange::Known => return,
+            MissingRowChange::Changed(row) => {
                 board.recent_changes.amend(id, missing(row));
                 None
             }
-            Noted::New(row) => {
+            MissingRowChange::New(row) => {
                 board.recent_changes.push(removal.revision, missing(row), now);
                 Some(row)
             }
@@ -149,7 +149,7 @@
     /// available all along. Each process does so on its own: the store has no revision for it.
     pub(super) fn drop_missing(&self, now: Instant) {
         let board = self.gateway.board.borrow();
-        let store_was_up = board.store_was_there(now);
+        let store_was_up = board.store_was_available(now);
         let expired =
             |v: &UpstreamView| v.missing.is_some_and(|row| store_was_up || now >= row.until);
         let missing = board.upstreams.iter().filter(|(_, v)| expired(v));
--- a/src/gateway/controllers/mod.rs
+++ b/src/gateway/controllers/mod.rs
@@ -1,6 +1,5 @@
 //! Controllers: `stakker` actors, each of which maintains part of the board.
 
-mod asking;
 mod capacity;
 mod configuration;
 mod crashes;
@@ -8,15 +7,16 @@
 mod duties;
 mod graceful_shutdown;
 mod heartbeat_sender;
-mod kept;
 mod knowledge_age;
 mod missing_rows;
+mod peer_requests;
 mod peer_sync;
 mod peers;
-mod reading;
+mod persisted_state;
 mod rollouts;
 mod source;
 mod startup;
+mod table_reader;
 mod usage_report;
 
 use std::rc::Rc;
@@ -33,10 +33,10 @@
 pub use duties::Duties;
 pub use graceful_shutdown::GracefulShutdown;
 pub use peers::Peers;
-pub use reading::follow_table;
 pub use rollouts::Rollouts;
 pub use source::Source;
 pub use startup::{register_member, restore_state};
+pub use table_reader::follow_table;
 
 /// Owning handles of all controllers, through which they are sent messages.
 pub struct Controllers {
--- a/src/gateway/controllers/asking.rs
+++ b/src/gateway/controllers/peer_requests.rs
@@ -13,7 +13,7 @@
 
 /// Sends a GET request to another gateway and returns the response body; `None` if there is no
 /// response with status 200 within [`PEER_REQUEST_TIMEOUT`].
-pub(super) async fn ask(from: SocketAddr, path: &str) -> Option<Bytes> {
+pub(super) async fn get_from_peer(from: SocketAddr, path: &str) -> Option<Bytes> {
     let exchange = async {
         let mut connection = connect(from, PEER_REQUEST_TIMEOUT).await.ok()?;
         let request = json_request(Method::GET, path, &from.to_string(), Bytes::new());
--- a/src/gateway/controllers/peer_sync.rs
+++ b/src/gateway/controllers/peer_sync.rs
@@ -11,7 +11,7 @@
 use stakker::call;
 use tokio::task::spawn_local;
 
-use super::{Source, asking::ask, reading::read_once};
+use super::{Source, peer_requests::get_from_peer, table_reader::read_once};
 use crate::gateway::{
     board::{Board, PeerView},
     context::Gateway,
@@ -74,12 +74,12 @@
     /// gateway could not serve all others at once, and may be partitioned.
     fn source(&self, now: Instant) -> Option<SocketAddr> {
         let board = self.gateway.board.borrow();
-        let newest = board.heard(now).map(|p| self.known_by(p)).max()?;
+        let newest = board.recently_heard(now).map(|p| self.known_by(p)).max()?;
         if newest <= self.known(&board) {
             return None;
         }
         let own = &self.gateway.settings.borrow().data_centre;
-        let have_newest = board.heard(now).filter(|p| self.known_by(p) == newest);
+        let have_newest = board.recently_heard(now).filter(|p| self.known_by(p) == newest);
         let (near, far): (Vec<&PeerView>, Vec<&PeerView>) =
             have_newest.partition(|p| p.last.data_centre == *own);
         let sources = if near.is_empty() { far } else { near };
@@ -124,10 +124,10 @@
 /// Fetches the configuration; returns whether the gateway answered in time. On a slow link a large
 /// document takes long, so the first gateways to have a new one cannot serve all others.
 async fn fetch_configuration(gateway: &Gateway, from: SocketAddr) -> bool {
-    let Some(document) = ask(from, "/peer/configuration").await else {
+    let Some(document) = get_from_peer(from, "/peer/configuration").await else {
         return false;
     };
-    gateway.tell(|c| call!([c.configuration], apply(document, Source::Peer)));
+    gateway.send_to_controllers(|c| call!([c.configuration], apply(document, Source::Peer)));
     true
 }
 
@@ -135,7 +135,7 @@
 /// the gateway answered in time and its answer could be decoded.
 async fn fetch_upstreams(gateway: &Gateway, from: SocketAddr) -> bool {
     let known = gateway.board.borrow().upstreams_position();
-    let Some(bytes) = ask(from, &format!("/peer/upstreams/{known}")).await else {
+    let Some(bytes) = get_from_peer(from, &format!("/peer/upstreams/{known}")).await else {
         return false;
     };
     let decoded = UpstreamSnapshot::decode(&bytes);
@@ -143,7 +143,7 @@
         log::error!("list of upstreams from gateway {from} cannot be decoded: {e}");
     }
     decoded.is_ok_and(|snapshot| {
-        gateway.tell(|c| call!([c.directory], copy(snapshot)));
+        gateway.send_to_controllers(|c| call!([c.directory], apply_peer_snapshot(snapshot)));
         true
     })
 }
--- a/src/gateway/controllers/peers.rs
+++ b/src/gateway/controllers/peers.rs
@@ -13,12 +13,12 @@
 use crate::{
     control::HeardClaim,
     gateway::{
-        board::{HEARTBEAT_PERIOD, PEER_FORGOTTEN, PeerView},
+        board::{HEARTBEAT_PERIOD, PEER_TIMEOUT, PeerView},
         context::Gateway,
-        decide::{PeerTotal, wait_at_start},
+        decide::{PeerTotal, startup_read_delay},
         model::Followed,
         net::Phase,
-        peering::{Heartbeat, PassedOn, ProcessId},
+        peering::{Heartbeat, ProcessId, RelayedHeartbeat},
         telemetry::Event,
     },
     prefix,
@@ -55,8 +55,8 @@
         let order = |a: &SocketAddr| prefix::hash(a.to_string().as_bytes());
         let rank = addresses.iter().filter(|a| order(a) < order(&own)).count();
         let mut board = self.gateway.board.borrow_mut();
-        board.announced = addresses.len();
-        board.told_until = Some(cx.now() + wait_at_start(rank));
+        board.announced_hosts = addresses.len();
+        board.peer_snapshot_deadline = Some(cx.now() + startup_read_delay(rank));
         drop(board);
         self.sender.add_members(addresses);
         self.sender.send(cx.now());
@@ -71,7 +71,7 @@
         }
         let from = heartbeat.heartbeats;
         let recent = std::mem::take(&mut heartbeat.recent);
-        self.gateway.tell(|c| call!([c.directory], follow(recent)));
+        self.gateway.send_to_controllers(|c| call!([c.directory], apply_peer_changes(recent)));
         if let Some(reading) = heartbeat.store_now {
             self.gateway.board.borrow_mut().store_clock.note(reading, now);
         }
@@ -84,8 +84,8 @@
     }
 
     /// Handles a heartbeat that another gateway relays.
-    pub fn relayed_heartbeat_received(&mut self, cx: CX![], relayed: PassedOn) {
-        let PassedOn { age_ms, mut heartbeat } = relayed;
+    pub fn relayed_heartbeat_received(&mut self, cx: CX![], relayed: RelayedHeartbeat) {
+        let RelayedHeartbeat { age_ms, mut heartbeat } = relayed;
         let process = heartbeat.process();
         let board = self.gateway.board.borrow();
         let known = board.peers.get(&process);
@@ -108,16 +108,16 @@
         let process = heartbeat.process();
         if let Some(claim) = heartbeat.lease {
             let heard = HeardClaim { holder: process.clone(), claim, at: sent };
-            self.gateway.tell(|c| call!([c.duties], claim_received(heard)));
+            self.gateway.send_to_controllers(|c| call!([c.duties], claim_received(heard)));
         }
         let mut board = self.gateway.board.borrow_mut();
-        let before = board.hear(process.clone(), heartbeat, sent);
+        let before = board.record_heartbeat(process.clone(), heartbeat, sent);
         let silence = board.peer_silence();
-        let limits = board.hear_limits(&process, now);
-        let leaving = board.hear_leaving(&process, now);
+        let limits = board.merge_limit_reports(&process, now);
+        let leaving = board.merge_leaving_reports(&process, now);
         drop(board);
-        leaving.into_iter().for_each(|upstream| self.gateway.log_leaving(upstream, ""));
-        limits.into_iter().for_each(|(of, notice)| self.gateway.log_limit(of, notice, ""));
+        leaving.into_iter().for_each(|upstream| self.gateway.log_upstream_leaving(upstream, ""));
+        limits.into_iter().for_each(|(of, notice)| self.gateway.log_rate_limit(of, notice, ""));
         if before.is_none_or(|heard| now.saturating_duration_since(heard) >= silence) {
             self.gateway.log(&Event::Peer { process: &process, state: "heard" });
         }
@@ -125,7 +125,7 @@
     }
 
     /// Sends a heartbeat at once, for example when this process begins to shut down.
-    pub fn tell_now(&mut self, cx: CX![]) {
+    pub fn send_now(&mut self, cx: CX![]) {
         self.sender.send(cx.now());
     }
 
@@ -135,8 +135,8 @@
         self.forget_silent(now);
         self.knowledge_ages.update(&self.gateway, now);
         let mut board = self.gateway.board.borrow_mut();
-        board.average_costs(now);
-        board.add_up_outcomes(now);
+        board.update_average_costs(now);
+        board.update_shared_outcomes(now);
         let leaving = self.gateway.shutdown.phase() > Phase::Serving;
         board.divide_limits(&self.gateway.settings.borrow().id, leaving, now);
         drop(board);
@@ -156,7 +156,7 @@
                 if let Some(quota) = known.and_then(|c| c.quota) {
                     let total = *total;
                     let peer = PeerTotal { process: &process, older, customer, total };
-                    board.quotas.hear(peer, quota, now);
+                    board.quotas.record_peer_total(peer, quota, now);
                 }
             }
             for prefix in &heartbeat.prefixes {
@@ -169,7 +169,7 @@
         for report in &heartbeat.rollouts {
             let time = board.store_time(now);
             let has_slack = self.gateway.was_up_at(report.order.started, time, now);
-            board.rollouts.hear(&process, report, has_slack, fastrand::f64());
+            board.rollouts.merge_report(&process, report, has_slack, fastrand::f64());
         }
         for report in &heartbeat.speeds {
             board.speed_model(&report.service).adopt(report.speed(), f64::from(report.requests));
@@ -178,9 +178,9 @@
             board.capacity.orders.clone_from(&heartbeat.orders);
         }
         for (window, counts) in &heartbeat.usage {
-            board.usage.hear(&process, *window, counts);
+            board.usage.merge_counts(&process, *window, counts);
         }
-        let corrected = board.clock.hear(&heartbeat.host, heartbeat.time, now);
+        let corrected = board.clock.record_peer_time(&heartbeat.host, heartbeat.time, now);
         drop(guard);
         if let Some(correction_ms) = corrected {
             self.gateway.log(&Event::Clock { correction_ms });
@@ -199,14 +199,14 @@
 
     fn forget_silent(&mut self, now: Instant) {
         let mut board = self.gateway.board.borrow_mut();
-        let old = |p: &PeerView| now.saturating_duration_since(p.heard) >= PEER_FORGOTTEN;
+        let old = |p: &PeerView| now.saturating_duration_since(p.last_heard) >= PEER_TIMEOUT;
         let gone: Vec<ProcessId> =
             board.peers.iter().filter(|(_, p)| old(p)).map(|(id, _)| id.clone()).collect();
         for id in &gone {
             board.forget_peer(id);
         }
-        board.forget_silent_loads(now);
-        let heard = board.heard(now).count();
+        board.subtract_silent_loads(now);
+        let heard = board.recently_heard(now).count();
         drop(board);
         for process in &gone {
             self.gateway.log(&Event::Peer { process, state: "forgotten" });
--- a/src/gateway/controllers/kept.rs
+++ b/src/gateway/controllers/persisted_state.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     clock,
-    gateway::{context::Gateway, decide::Kept, peering::WireError},
+    gateway::{context::Gateway, decide::DurableState, peering::WireError},
     platform::{RowWrite, StoreRow, Table},
     telemetry::count,
 };
@@ -26,7 +26,7 @@
         let now = clock::now();
         let share = board.quota_share(now);
         let levels = board.quotas.levels(share, now);
-        Kept::of(levels, &board.usage, board.capacity.clone())
+        DurableState::of(levels, &board.usage, board.capacity.clone())
     };
     let mut value = Vec::new();
     if let Err(e) = ciborium::into_writer(&kept, &mut value) {
@@ -42,7 +42,7 @@
         return;
     };
     let written = gateway.store.write(&[row]).await;
-    gateway.note_store(written.as_ref().err());
+    gateway.record_store_outcome(written.as_ref().err());
     count(&gateway.metrics.platform_calls, if written.is_ok() { "keep" } else { "keep_failed" });
 }
 
@@ -52,11 +52,11 @@
 ///
 /// Fails if the row cannot be decoded.
 pub fn restore(gateway: &Gateway, row: &StoreRow) -> Result<(), WireError> {
-    let kept: Kept = ciborium::from_reader(&row.value[..])?;
+    let kept: DurableState = ciborium::from_reader(&row.value[..])?;
     let mut guard = gateway.board.borrow_mut();
     let board = &mut *guard;
     let capacity = kept.restore(&mut board.quotas, &mut board.usage, clock::now());
-    board.kept_needs = capacity.needs;
+    board.previous_holder_needs = capacity.needs;
     // Orders already received from a holder's heartbeat are newer than the row.
     if board.capacity.orders.is_empty() {
         board.capacity.orders = capacity.orders;
--- a/src/gateway/controllers/rollouts.rs
+++ b/src/gateway/controllers/rollouts.rs
@@ -11,7 +11,7 @@
 use stakker::{CX, call, timer_max};
 use tokio::task::spawn_local;
 
-use super::reading::note;
+use super::table_reader::record_store_call;
 use crate::{
     clock,
     gateway::{
@@ -96,7 +96,7 @@
     }
 
     /// Handles an order that was read from the store.
-    pub fn ordered(&mut self, cx: CX![], row: StoreRow) {
+    pub fn order_read(&mut self, cx: CX![], row: StoreRow) {
         let Some(service) = rollout_service(&row.key).map(str::to_owned) else {
             return;
         };
@@ -136,7 +136,7 @@
     }
 
     /// Handles the removal of a service's order from the store: its roll-out is rolled back.
-    pub fn withdrawn(&mut self, cx: CX![], service: ServiceName, revision: Revision) {
+    pub fn order_removed(&mut self, cx: CX![], service: ServiceName, revision: Revision) {
         self.pending.remove(&service);
         let mut board = self.gateway.board.borrow_mut();
         let Some(order) = board.rollouts.order(&service).cloned() else {
@@ -150,7 +150,7 @@
         let view = board.rollouts.views(now).find(|v| v.order.service == service);
         drop(board);
         self.log(view.as_ref(), "order_withdrawn");
-        self.gateway.tell(|c| call!([c.peers], tell_now()));
+        self.gateway.send_to_controllers(|c| call!([c.peers], send_now()));
     }
 
     fn tick(&mut self, cx: CX![]) {
@@ -164,7 +164,7 @@
         let holder = board.lease.may_act(now).is_some();
         let services: Vec<ServiceName> = board.rollouts.services().cloned().collect();
         let earlier: BTreeSet<ServiceName> =
-            services.into_iter().filter(|s| board.has_earlier(s)).collect();
+            services.into_iter().filter(|s| board.has_earlier_version(s)).collect();
         let ended = board.rollouts.roll_back(time, |service| earlier.contains(service));
         let moved = if holder { board.rollouts.start_moving(time) } else { Vec::new() };
         let views: Vec<RolloutView> = board.rollouts.views(time).collect();
@@ -173,7 +173,7 @@
             self.log(Some(view), cause);
         }
         if !(ended.is_empty() && moved.is_empty()) {
-            self.gateway.tell(|c| call!([c.peers], tell_now()));
+            self.gateway.send_to_controllers(|c| call!([c.peers], send_now()));
         }
         self.update_idle(&views, &earlier, now);
         if holder {
@@ -215,7 +215,7 @@
             .retain(|service, _| views.iter().any(|v| v.order.service == *service && has_moved(v)));
         for view in views.iter().filter(|v| has_moved(v)) {
             let service = &view.order.service;
-            match board.running_at_earlier(service) {
+            match board.running_on_earlier_versions(service) {
                 0 => drop(self.idle_since.entry(service.clone()).or_insert(now)),
                 _ => drop(self.idle_since.remove(service)),
             }
@@ -292,11 +292,11 @@
                 Some(lost) => lost,
                 None => {
                     let outcome = gateway.store.write(&writes).await;
-                    note(&gateway, "rollout_status", began, outcome.as_ref().err());
+                    record_store_call(&gateway, "rollout_status", began, outcome.as_ref().err());
                     outcome
                 }
             };
-            gateway.tell(|c| {
+            gateway.send_to_controllers(|c| {
                 call!([c.rollouts], written(service, revision, state, destination, outcome))
             });
         });
@@ -333,7 +333,7 @@
         let view = board.rollouts.views(time).find(|v| v.order.service == service);
         drop(board);
         self.log(view.as_ref(), cause);
-        self.gateway.tell(|c| call!([c.peers], tell_now()));
+        self.gateway.send_to_controllers(|c| call!([c.peers], send_now()));
     }
 
     /// Reads the status rows, and the rows with the start of each order.
@@ -346,13 +346,13 @@
         spawn_local(async move {
             let began = clock::now();
             let status = gateway.store.snapshot(Table::Status).await;
-            note(&gateway, "rollout_read", began, status.as_ref().err());
+            record_store_call(&gateway, "rollout_read", began, status.as_ref().err());
             let starts = match &status {
                 Ok(_) => gateway.store.snapshot(Table::Duties).await,
                 Err(_) => Err(PlatformError::Timeout),
             };
             let rows = status.and_then(|status| Ok((status.rows, starts?.rows)));
-            gateway.tell(|c| call!([c.rollouts], rows_read(rows)));
+            gateway.send_to_controllers(|c| call!([c.rollouts], rows_read(rows)));
         });
     }
 
@@ -393,14 +393,14 @@
         let RolloutDocument { destination, duration, .. } = document;
         let service = service.clone();
         let order = RolloutOrder { service, destination, duration, revision, started };
-        if self.gateway.take_order(order.clone(), now) {
+        if self.gateway.add_order(order.clone(), now) {
             let board = self.gateway.board.borrow();
             let time = board.store_time(now);
             let view = board.rollouts.views(time).find(|v| v.order.revision == revision);
             drop(board);
             self.log(view.as_ref(), "ordered");
         }
-        self.gateway.tell(|c| call!([c.peers], tell_now()));
+        self.gateway.send_to_controllers(|c| call!([c.peers], send_now()));
     }
 
     /// Returns how the roll-out of an order ended, if a status row written after the order says so.
@@ -417,10 +417,10 @@
 
 impl Gateway {
     /// Puts an order into force; returns whether it is new here.
-    pub fn take_order(&self, order: RolloutOrder, now: Instant) -> bool {
+    pub fn add_order(&self, order: RolloutOrder, now: Instant) -> bool {
         let mut board = self.board.borrow_mut();
         let has_slack = self.was_up_at(order.started, board.store_time(now), now);
-        board.rollouts.take_order(order, has_slack, fastrand::f64())
+        board.rollouts.add_order(order, has_slack, fastrand::f64())
     }
 
     /// Returns whether this process was already running at time `at` of the store's clock, where
--- a/src/gateway/controllers/startup.rs
+++ b/src/gateway/controllers/startup.rs
@@ -9,8 +9,8 @@
 
 use super::{
     duties::LEASE_KEY,
-    kept::{QUARANTINE_KEY, STATE_KEY, restore},
-    reading::note,
+    persisted_state::{QUARANTINE_KEY, STATE_KEY, restore},
+    table_reader::record_store_call,
 };
 use crate::{
     clock,
@@ -32,7 +32,7 @@
 pub async fn restore_state(gateway: Rc<Gateway>) {
     let began = clock::now();
     let read = gateway.store.snapshot(Table::Duties).await;
-    note(&gateway, "recall", began, read.as_ref().err());
+    record_store_call(&gateway, "recall", began, read.as_ref().err());
     let was_read = read.is_ok();
     for row in read.map(|s| s.rows).unwrap_or_default() {
         match row.key.as_str() {
@@ -43,14 +43,16 @@
                     );
                 }
             }
-            LEASE_KEY => gateway.tell(|c| call!([c.duties], row_restored(row))),
-            QUARANTINE_KEY => gateway.tell(|c| call!([c.crashes], recalled(row))),
+            LEASE_KEY => gateway.send_to_controllers(|c| call!([c.duties], row_restored(row))),
+            QUARANTINE_KEY => {
+                gateway.send_to_controllers(|c| call!([c.crashes], verdicts_read(row)))
+            }
             _ => {}
         }
     }
     // If the read failed, the quarantine verdicts are fetched from another gateway instead.
     if was_read {
-        gateway.tell(|c| call!([c.crashes], verdicts_known()));
+        gateway.send_to_controllers(|c| call!([c.crashes], crash_verdicts_known()));
     }
 }
 
@@ -76,23 +78,23 @@
     loop {
         let began = clock::now();
         let written = gateway.store.write(std::slice::from_ref(&row)).await;
-        note(&gateway, "announce", began, written.as_ref().err());
+        record_store_call(&gateway, "announce", began, written.as_ref().err());
         if written.is_ok() {
             break;
         }
-        sleep(backoff.failed(fastrand::f64())).await;
+        sleep(backoff.record_failure(fastrand::f64())).await;
     }
-    backoff.answered();
+    backoff.record_success();
     loop {
         let began = clock::now();
         let read = timeout(MEMBERS_TIMEOUT, gateway.store.snapshot(Table::Members)).await;
         let read = read.unwrap_or(Err(PlatformError::Timeout));
-        note(&gateway, "members", began, read.as_ref().err());
+        record_store_call(&gateway, "members", began, read.as_ref().err());
         if let Ok(snapshot) = read {
             let addresses = snapshot.rows.iter().filter_map(member_address).collect();
-            gateway.tell(|c| call!([c.peers], members_read(addresses)));
+            gateway.send_to_controllers(|c| call!([c.peers], members_read(addresses)));
             return;
         }
-        sleep(backoff.failed(fastrand::f64())).await;
+        sleep(backoff.record_failure(fastrand::f64())).await;
     }
 }
--- a/src/gateway/controllers/reading.rs
+++ b/src/gateway/controllers/table_reader.rs
@@ -16,7 +16,7 @@
     clock,
     gateway::{
         context::Gateway,
-        decide::{Backoff, Knowledge, StoreMillis, Turn},
+        decide::{Backoff, ReadAction, StoreMillis, SyncPoint},
         model::{Followed, Revision, ServiceName},
         telemetry::Event,
     },
@@ -68,18 +68,18 @@
         }
         match reader.turn() {
             None => match reader.snapshot().await {
-                ReadOutcome::Failed => sleep(backoff.failed(fastrand::f64())).await,
+                ReadOutcome::Failed => sleep(backoff.record_failure(fastrand::f64())).await,
                 ReadOutcome::Changed | ReadOutcome::Unchanged => {
-                    backoff.answered();
+                    backoff.record_success();
                     sleep(APPLY_PAUSE).await;
                 }
             },
-            Some(Turn::Wait(wait)) => reader.long_poll(wait).await,
-            Some(Turn::StandIn(pause)) => {
+            Some(ReadAction::LongPoll(wait)) => reader.long_poll(wait).await,
+            Some(ReadAction::FallbackRead(pause)) => {
                 drop(spawn_local(reader.clone().read(Duration::ZERO)));
                 sleep(pause).await;
             }
-            Some(Turn::Later(pause)) => sleep(pause).await,
+            Some(ReadAction::Recheck(pause)) => sleep(pause).await,
         }
     }
 }
@@ -100,7 +100,7 @@
             return None;
         }
         let now = clock::now();
-        let until = board.told_until.unwrap_or(self.gateway.started + MEMBERS_WAIT);
+        let until = board.peer_snapshot_deadline.unwrap_or(self.gateway.started + MEMBERS_WAIT);
         (now < until).then(|| STARTUP_POLL_INTERVAL.min(until - now))
     }
 
@@ -112,7 +112,7 @@
         }
     }
 
-    fn turn(&self) -> Option<Turn> {
+    fn turn(&self) -> Option<ReadAction> {
         let board = self.gateway.board.borrow();
         board.read_turn(&self.gateway.process, self.followed, clock::now())
     }
@@ -135,7 +135,7 @@
         let after = self.known.get().max(known.map_or(0, |k| k.position));
         let began = clock::now();
         let fed = self.gateway.store.feed(self.table(), after, wait).await;
-        note(&self.gateway, feed_name(self.followed), began, fed.as_ref().err());
+        record_store_call(&self.gateway, feed_name(self.followed), began, fed.as_ref().err());
         match fed {
             Ok(feed) => self.apply(feed),
             Err(PlatformError::HistoryLost) => self.snapshot().await,
@@ -160,7 +160,7 @@
     async fn snapshot(&self) -> ReadOutcome {
         let began = clock::now();
         let read = self.gateway.store.snapshot(self.table()).await;
-        note(&self.gateway, "snapshot", began, read.as_ref().err());
+        record_store_call(&self.gateway, "snapshot", began, read.as_ref().err());
         match read {
             Ok(snapshot) if snapshot.revision >= self.known.get() => {
                 self.known.set(snapshot.revision);
@@ -175,7 +175,9 @@
     fn pass_on_changes(&self, feed: Feed) {
         match self.followed {
             Followed::Configuration => apply_operator_changes(&self.gateway, feed),
-            Followed::Upstreams => self.gateway.tell(|c| call!([c.directory], changes(feed))),
+            Followed::Upstreams => {
+                self.gateway.send_to_controllers(|c| call!([c.directory], apply_feed(feed)))
+            }
         }
     }
 
@@ -183,7 +185,8 @@
         match self.followed {
             Followed::Configuration => apply_operator_snapshot(&self.gateway, snapshot),
             Followed::Upstreams => {
-                self.gateway.tell(|c| call!([c.directory], snapshot(snapshot)));
+                self.gateway
+                    .send_to_controllers(|c| call!([c.directory], apply_snapshot(snapshot)));
             }
         }
     }
@@ -208,9 +211,9 @@
     let ordered: BTreeSet<&str> = rows.iter().filter_map(|r| rollout_service(&r.key)).collect();
     let known: Vec<ServiceName> = gateway.board.borrow().rollouts.services().cloned().collect();
     for service in known.into_iter().filter(|s| !ordered.contains(s.as_str())) {
-        gateway.tell(|c| call!([c.rollouts], withdrawn(service, revision)));
+        gateway.send_to_controllers(|c| call!([c.rollouts], order_removed(service, revision)));
     }
-    apply_operator_rows(gateway, rows, Knowledge { position: revision, as_of });
+    apply_operator_rows(gateway, rows, SyncPoint { position: revision, as_of });
 }
 
 fn apply_operator_changes(gateway: &Gateway, feed: Feed) {
@@ -220,12 +223,13 @@
         // The row of the configuration is never removed, so only roll-outs are handled.
         Change::Removed(key, revision) => {
             if let Some(service) = rollout_service(&key).map(str::to_owned) {
-                gateway.tell(|c| call!([c.rollouts], withdrawn(service, revision)));
+                gateway
+                    .send_to_controllers(|c| call!([c.rollouts], order_removed(service, revision)));
             }
             None
         }
     });
-    apply_operator_rows(gateway, written, Knowledge { position: revision, as_of });
+    apply_operator_rows(gateway, written, SyncPoint { position: revision, as_of });
 }
 
 /// Passes the configuration and the orders of roll-outs to their controllers, and then the position
@@ -233,27 +237,33 @@
 fn apply_operator_rows(
     gateway: &Gateway,
     rows: impl IntoIterator<Item = StoreRow>,
-    known: Knowledge,
+    known: SyncPoint,
 ) {
     for row in rows {
         if row.key == CONFIGURATION_KEY {
             let document = row.value.into();
-            gateway.tell(|c| call!([c.configuration], apply(document, Source::Store)));
+            gateway
+                .send_to_controllers(|c| call!([c.configuration], apply(document, Source::Store)));
         } else if rollout_service(&row.key).is_some() {
-            gateway.tell(|c| call!([c.rollouts], ordered(row)));
+            gateway.send_to_controllers(|c| call!([c.rollouts], order_read(row)));
         }
     }
-    gateway.tell(|c| call!([c.configuration], advance_knowledge(known)));
+    gateway.send_to_controllers(|c| call!([c.configuration], advance_knowledge(known)));
 }
 
 /// Records the outcome of a call to the store that began at `began`: counts it, logs a failure, and
 /// updates whether the store is available.
-pub(super) fn note(gateway: &Gateway, call: &str, began: Instant, error: Option<&PlatformError>) {
+pub(super) fn record_store_call(
+    gateway: &Gateway,
+    call: &str,
+    began: Instant,
+    error: Option<&PlatformError>,
+) {
     let outcome = if error.is_some() { "failed" } else { "ok" };
     count(&gateway.metrics.platform_calls, &format!("{call}_{outcome}"));
     if let Some(error) = error {
         let after_ms = clock::now().saturating_duration_since(began).as_millis() as u64;
         gateway.log(&Event::StoreCallFailed { call, after_ms, error: &error.to_string() });
     }
-    gateway.note_store(error);
+    gateway.record_store_outcome(error);
 }
--- a/src/gateway/controllers/usage_report.rs
+++ b/src/gateway/controllers/usage_report.rs
@@ -8,7 +8,7 @@
     clock,
     gateway::{
         context::Gateway,
-        decide::{Counts, Window},
+        decide::{UsageCounts, WindowNumber},
         telemetry::Event,
     },
     platform::{PlatformError, RowWrite, Table, WriteOutcome},
@@ -17,7 +17,11 @@
 
 /// Stores the counts of a window and reports them. The stored counts make the report idempotent:
 /// any holder that sends it again sends the same numbers.
-pub(super) async fn send_usage_report(gateway: Rc<Gateway>, window: Window, counts: Counts) {
+pub(super) async fn send_usage_report(
+    gateway: Rc<Gateway>,
+    window: WindowNumber,
+    counts: UsageCounts,
+) {
     let sent = match store_counts(&gateway, window, counts).await {
         Ok(counts) => {
             let fence = || gateway.board.borrow().lease.may_act(clock::now());
@@ -31,21 +35,21 @@
         Err(e) => Err(e),
     };
     count(&gateway.metrics.platform_calls, if sent.is_ok() { "usage" } else { "usage_failed" });
-    gateway.tell(|c| call!([c.duties], report_completed(window, sent.is_ok())));
+    gateway.send_to_controllers(|c| call!([c.duties], report_completed(window, sent.is_ok())));
 }
 
 /// Stores the counts of a window unless the store already has some from an earlier attempt; returns
 /// the stored ones.
 async fn store_counts(
     gateway: &Gateway,
-    window: Window,
-    counts: Counts,
-) -> Result<Counts, PlatformError> {
+    window: WindowNumber,
+    counts: UsageCounts,
+) -> Result<UsageCounts, PlatformError> {
     let key = format!("usage-{window}");
     let value = serde_json::to_vec(&counts).expect("strings and integers always encode as JSON");
     let write = RowWrite { table: Table::Duties, key: key.clone(), value, expected: Some(0) };
     let outcome = gateway.store.write(&[write]).await;
-    gateway.note_store(outcome.as_ref().err());
+    gateway.record_store_outcome(outcome.as_ref().err());
     match outcome? {
         WriteOutcome::Done(_) => Ok(counts),
         WriteOutcome::Conflict(rows) => {
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -15,7 +15,7 @@
     board::Board,
     context::Gateway,
     controllers::{Controllers, follow_table, register_member, restore_state},
-    decide::TrueClock,
+    decide::PeerCorrectedClock,
     model::Followed,
     net::{Phase, serve},
     peering::Datagram,
@@ -64,7 +64,7 @@
     let socket = bind_udp(listen.heartbeats).await?;
     let incarnation = fastrand::u64(1..);
     let now = clock::now();
-    let clock = TrueClock::new(now, unix_millis());
+    let clock = PeerCorrectedClock::new(now, unix_millis());
     let process = format!("{}.{incarnation:x}", settings.id);
     let journal = Journal::new(process, io::stdout());
     let gateway = Rc::new(Gateway::new(settings, incarnation, Board::new(clock, now), journal));
@@ -121,13 +121,15 @@
             }
         };
         match Datagram::decode(&buf[..len]) {
-            Ok(Datagram::Heartbeats(heartbeat, relayed)) => gateway.tell(|c| {
+            Ok(Datagram::Heartbeats(heartbeat, relayed)) => gateway.send_to_controllers(|c| {
                 call!([c.peers], heartbeat_received(*heartbeat));
                 for heartbeat in relayed {
                     call!([c.peers], relayed_heartbeat_received(heartbeat));
                 }
             }),
-            Ok(Datagram::Crashes(notice)) => gateway.tell(|c| call!([c.crashes], hear(notice))),
+            Ok(Datagram::Crashes(notice)) => {
+                gateway.send_to_controllers(|c| call!([c.crashes], hear(notice)))
+            }
             Ok(Datagram::Limit(question)) => gateway.hear_limit_question(question, from),
             Err(e) => log::warn!("datagram from {from} cannot be decoded: {e}"),
         }
@@ -154,7 +156,7 @@
             let gateway = gateway.clone();
             spawn_local(async move {
                 while stop.recv().await.is_some() {
-                    gateway.tell(|c| call!([c.graceful_shutdown], begin()));
+                    gateway.send_to_controllers(|c| call!([c.graceful_shutdown], begin()));
                 }
             });
         }
--- a/src/gateway/decide/backoff.rs
+++ b/src/gateway/decide/backoff.rs
@@ -21,13 +21,13 @@
 
 impl Backoff {
     /// Resets the backoff after a successful call.
-    pub fn answered(&mut self) {
+    pub fn record_success(&mut self) {
         self.consecutive_failures = 0;
     }
 
     /// Records a failed call and returns the delay before the next one. `chance` is the jitter,
     /// from 0 to 1: the larger it is, the shorter the delay.
-    pub fn failed(&mut self, chance: f64) -> Duration {
+    pub fn record_failure(&mut self, chance: f64) -> Duration {
         let delay = INITIAL_DELAY
             .saturating_mul(2_u32.saturating_pow(self.consecutive_failures))
             .min(MAX_DELAY);
--- a/src/gateway/decide/cache.rs
+++ b/src/gateway/decide/cache.rs
@@ -23,11 +23,11 @@
 /// Estimated KV cache contents of all engines, derived from the requests sent to them. An
 /// engine that restarts loses its cache, so entries are keyed by lifetime.
 #[derive(Clone, Debug, Default)]
-pub struct CacheBelief {
+pub struct PrefixCacheEstimate {
     engines: HashMap<Lifetime, EngineCache>,
 }
 
-impl CacheBelief {
+impl PrefixCacheEstimate {
     /// Records that a request with a shared prefix was sent to an engine whose cache holds
     /// `capacity` tokens. Least recently used prefixes are evicted when the estimate exceeds
     /// the space for shared prefixes.
--- a/src/gateway/decide/capacity.rs
+++ b/src/gateway/decide/capacity.rs
@@ -77,13 +77,13 @@
 
 /// Returns the minimum number of required engines until the load is known. The operator's
 /// bounds indicate the load that was planned for.
-pub fn needed_at_start(scaling: &Scaling, policy: &CapacityPolicy) -> f64 {
+pub fn min_engines_at_start(scaling: &Scaling, policy: &CapacityPolicy) -> f64 {
     f64::from(scaling.max) * scaling.prices.len() as f64 * policy.start_share
 }
 
 /// Number of engines to have in one data centre.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Wish {
+pub struct DesiredEngines {
     /// Reclaimable engines.
     pub reclaimable: u32,
     /// Engines on demand.
@@ -94,7 +94,7 @@
 pub fn plan_engines(
     input: &CapacityInput<'_>,
     policy: &CapacityPolicy,
-) -> BTreeMap<DataCentre, Wish> {
+) -> BTreeMap<DataCentre, DesiredEngines> {
     let needed = input.need.engines.max(policy.needed_floor);
     let reclaimable_need = input.need.reclaimable.max(needed);
     let data_centres = input.fleets.len();
@@ -103,8 +103,8 @@
         (reclaimable_need * policy.reclaimable_spare / remaining as f64).ceil() as u32;
     let reclaimable_each = reclaimable_each.min(input.scaling.max);
     let max_engines = input.scaling.max;
-    let mut desired: BTreeMap<DataCentre, Wish> =
-        input.fleets.keys().map(|name| (name.clone(), Wish::default())).collect();
+    let mut desired: BTreeMap<DataCentre, DesiredEngines> =
+        input.fleets.keys().map(|name| (name.clone(), DesiredEngines::default())).collect();
     place_on_demand(
         &mut desired,
         input,
@@ -131,7 +131,7 @@
 /// [`PLACEMENT_GROUP`], so that not all are in one data centre. Where possible, each data
 /// centre keeps room for `reserved` reclaimable engines that are yet to come.
 fn place_on_demand(
-    desired: &mut BTreeMap<DataCentre, Wish>,
+    desired: &mut BTreeMap<DataCentre, DesiredEngines>,
     input: &CapacityInput<'_>,
     mut count: u32,
     reserved: u32,
--- a/src/gateway/decide/clock.rs
+++ b/src/gateway/decide/clock.rs
@@ -13,13 +13,13 @@
 
 /// Time of day as estimated by this process.
 #[derive(Clone, Debug)]
-pub struct TrueClock {
+pub struct PeerCorrectedClock {
     base: Instant,
     base_ms: f64,
     peer_offsets_ms: HashMap<String, f64>,
 }
 
-impl TrueClock {
+impl PeerCorrectedClock {
     /// Starts from the wall clock, read at `now`.
     pub fn new(now: Instant, wall: UnixMillis) -> Self {
         Self { base: now, base_ms: wall as f64, peer_offsets_ms: HashMap::new() }
@@ -34,7 +34,12 @@
     /// Records the time of day of another process. If this process deviates too far from the
     /// median of all processes, it adopts the median. Returns the correction in milliseconds if
     /// one was made.
-    pub fn hear(&mut self, process: &str, time: UnixMillis, now: Instant) -> Option<f64> {
+    pub fn record_peer_time(
+        &mut self,
+        process: &str,
+        time: UnixMillis,
+        now: Instant,
+    ) -> Option<f64> {
         let offset_ms = time as f64 - self.unix_millis(now) as f64;
         self.peer_offsets_ms.insert(process.to_owned(), offset_ms);
         if self.peer_offsets_ms.len() < MIN_PEERS {
--- a/src/gateway/decide/crashes/gossip.rs
+++ b/src/gateway/decide/crashes/gossip.rs
@@ -18,7 +18,7 @@
 
 /// What one gateway tells the others about requests that crash upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CrashNews {
+pub struct CrashGossip {
     /// Suspects with the crashes under them, as far as the sender knows.
     pub suspects: Vec<SuspectReport>,
     /// Suspects that ran to completion.
--- a/src/gateway/decide/crashes/interrupted.rs
+++ b/src/gateway/decide/crashes/interrupted.rs
@@ -14,7 +14,7 @@
 
 /// An attempt that broke off before the answer was complete.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Break {
+pub struct InterruptedAttempt {
     /// Digest of the request.
     pub digest: RequestDigest,
     /// Customer that sent the request; empty for an open route.
@@ -26,13 +26,13 @@
 /// Attempts that broke off, perhaps because their upstream crashed. All attempts on one upstream
 /// are judged together.
 #[derive(Debug, Default)]
-pub struct Breaks {
-    attempts: VecDeque<(Instant, Break)>,
+pub struct InterruptedAttempts {
+    attempts: VecDeque<(Instant, InterruptedAttempt)>,
 }
 
-impl Breaks {
+impl InterruptedAttempts {
     /// Records an attempt that broke off.
-    pub fn note(&mut self, attempt: Break, now: Instant) {
+    pub fn note(&mut self, attempt: InterruptedAttempt, now: Instant) {
         let is_old = |t: &Instant| now.saturating_duration_since(*t) > MAX_UNDECIDED;
         while self.attempts.len() >= MAX_ATTEMPTS
             || self.attempts.front().is_some_and(|(t, _)| is_old(t))
@@ -43,14 +43,14 @@
     }
 
     /// Removes and returns the attempts on an upstream of which it is now known whether it crashed.
-    pub fn take(&mut self, lifetime: Lifetime) -> Vec<Break> {
+    pub fn take(&mut self, lifetime: Lifetime) -> Vec<InterruptedAttempt> {
         if self.attempts.iter().all(|(_, a)| a.lifetime != lifetime) {
             return Vec::new();
         }
         let all = std::mem::take(&mut self.attempts);
         let (on_upstream, others) = all.into_iter().partition(|(_, a)| a.lifetime == lifetime);
         self.attempts = others;
-        let on_upstream: VecDeque<(Instant, Break)> = on_upstream;
+        let on_upstream: VecDeque<(Instant, InterruptedAttempt)> = on_upstream;
         on_upstream.into_iter().map(|(_, attempt)| attempt).collect()
     }
 }
--- a/src/gateway/decide/crashes/mod.rs
+++ b/src/gateway/decide/crashes/mod.rs
@@ -18,8 +18,8 @@
 
 pub use copies::CopyReport;
 pub use evidence::SuspectReport;
-pub use gossip::CrashNews;
-pub use interrupted::{Break, Breaks};
+pub use gossip::CrashGossip;
+pub use interrupted::{InterruptedAttempt, InterruptedAttempts};
 pub use quarantine::{CrashVerdict, VerdictReport};
-pub use tracker::{Change, CrashBook, Permission};
+pub use tracker::{CrashTracker, Permission, QuarantineChange};
 pub use turn::TrialTurn;
--- a/src/gateway/decide/crashes/tracker.rs
+++ b/src/gateway/decide/crashes/tracker.rs
@@ -6,7 +6,7 @@
 };
 
 use super::{
-    Break, CrashNews, SuspectReport, VerdictReport,
+    CrashGossip, InterruptedAttempt, SuspectReport, VerdictReport,
     completions::Completions,
     copies::Copies,
     evidence::{Evidence, Suspect, VerdictContext, crashes_to_quarantine},
@@ -33,27 +33,27 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Permission {
     /// To any upstream, like other requests.
-    Free,
+    Unrestricted,
     /// Only to an upstream that runs no other suspect; of these, the one with the least work to
     /// lose.
-    Apart,
+    Isolated,
     /// Not while a copy of it is running: the outcome of that copy decides.
-    AfterCopy,
+    AfterRunningCopy,
     /// Not before this time: other processes may still report crashes under it.
-    Settles(Instant),
+    NotBefore(Instant),
     /// Not at all: it is quarantined, or is about to be, because upstreams crash under it.
     Never,
 }
 
 /// A request that was quarantined or released.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct QuarantineChange {
     /// Digest of the request.
     pub digest: RequestDigest,
     /// Customer that sent the request; empty for an open route.
     pub customer: String,
     /// Number of upstreams that crashed under it, as far as this process knows.
-    pub ends: usize,
+    pub crashes: usize,
     /// True if the request is quarantined from now on, false if it was released.
     pub quarantined: bool,
 }
@@ -61,7 +61,7 @@
 /// What this process knows of requests that crash upstreams: its own observations and what other
 /// gateways have reported.
 #[derive(Debug, Default)]
-pub struct CrashBook {
+pub struct CrashTracker {
     evidence: Evidence,
     quarantine: Quarantine,
     completions: Completions,
@@ -74,7 +74,7 @@
     announced_verdicts: Announcements<RequestDigest>,
 }
 
-impl CrashBook {
+impl CrashTracker {
     /// Returns whether a request may be sent to an upstream. Only one copy of a suspect runs at a
     /// time in the whole fleet: twenty copies that run at once would crash twenty upstreams.
     ///
@@ -94,30 +94,30 @@
         let suspect = self.evidence.get(digest);
         let Some(suspect) = suspect.filter(|_| !quarantined) else {
             return match quarantined {
-                true if self.copies.is_running(digest) => Permission::AfterCopy,
-                true => Permission::Apart,
-                false => Permission::Free,
+                true if self.copies.is_running(digest) => Permission::AfterRunningCopy,
+                true => Permission::Isolated,
+                false => Permission::Unrestricted,
             };
         };
         let (crashes, needed) =
             (suspect.crashes.len(), self.crashes_needed(&suspect.customer, time));
         if self.copies.is_running(digest) {
-            return Permission::AfterCopy;
+            return Permission::AfterRunningCopy;
         }
         if let Some(settled) = suspect.settled_at(needed).filter(|at| now < *at) {
-            return Permission::Settles(settled);
+            return Permission::NotBefore(settled);
         }
         // The verdict itself is recorded by the next call of `judge_suspects`.
         if self.is_culprit(digest, time, now) {
             return Permission::Never;
         }
         let isolate_from = CRASHES_TO_ISOLATE.min(needed);
-        if crashes < isolate_from { Permission::Free } else { Permission::Apart }
+        if crashes < isolate_from { Permission::Unrestricted } else { Permission::Isolated }
     }
 
     /// Records that this process sends a copy of a request to an upstream. Returns whether the
     /// other gateways have to be told.
-    pub fn begin(
+    pub fn copy_started(
         &mut self,
         digest: RequestDigest,
         lifetime: Lifetime,
@@ -133,7 +133,7 @@
 
     /// Records that a copy of this process has ended. Returns whether the other gateways have to be
     /// told.
-    pub fn end(&mut self, digest: RequestDigest, lifetime: Lifetime) -> bool {
+    pub fn copy_ended(&mut self, digest: RequestDigest, lifetime: Lifetime) -> bool {
         self.copies.end(digest, lifetime);
         self.is_tracked(digest)
     }
@@ -145,7 +145,7 @@
 
     /// Returns the upstreams on which quarantined requests or suspects are running: every suspect
     /// if `all`, otherwise only those with enough crashes to be isolated.
-    pub fn risked(&self, all: bool) -> Vec<Lifetime> {
+    pub fn upstreams_at_risk(&self, all: bool) -> Vec<Lifetime> {
         if self.evidence.is_empty() && self.quarantine.is_empty() {
             return Vec::new();
         }
@@ -163,8 +163,8 @@
     }
 
     /// Records that an upstream crashed while it ran a request.
-    pub fn note_end(&mut self, attempt: Break, now: Instant) {
-        let Break { digest, customer, lifetime } = attempt;
+    pub fn record_crash(&mut self, attempt: InterruptedAttempt, now: Instant) {
+        let InterruptedAttempt { digest, customer, lifetime } = attempt;
         let report = SuspectReport { digest, customer, crashes: vec![lifetime] };
         if !self.completions.contains(digest, now) && self.evidence.add(&report, now) {
             self.announced_suspects.push(digest, now);
@@ -173,7 +173,7 @@
 
     /// Records that an upstream is running requests, and retracts any crash of it that was
     /// recorded.
-    pub fn note_alive(&mut self, lifetime: Lifetime, now: Instant) {
+    pub fn retract_crashes(&mut self, lifetime: Lifetime, now: Instant) {
         if !self.evidence.is_empty() && self.evidence.retract(lifetime) {
             self.announced_alive.push(lifetime, now);
         }
@@ -181,7 +181,7 @@
 
     /// Quarantines requests that explain the crashes under them, and releases quarantined ones that
     /// turn out to be bystanders of another suspect. Returns what has changed.
-    pub fn judge_suspects(&mut self, time: UnixMillis, now: Instant) -> Vec<Change> {
+    pub fn judge_suspects(&mut self, time: UnixMillis, now: Instant) -> Vec<QuarantineChange> {
         let mut changes = Vec::new();
         for digest in self.evidence.recent(now) {
             if self.quarantine.contains(digest) {
@@ -215,7 +215,7 @@
         digest: RequestDigest,
         time: UnixMillis,
         now: Instant,
-    ) -> Option<Change> {
+    ) -> Option<QuarantineChange> {
         let customer = self.suspect(digest).customer;
         self.quarantine.add(digest, &customer, time)?;
         self.announced_verdicts.push(digest, now);
@@ -226,9 +226,14 @@
         self.evidence.get(digest).cloned().unwrap_or_default()
     }
 
-    fn change(&self, digest: RequestDigest, customer: String) -> Change {
+    fn change(&self, digest: RequestDigest, customer: String) -> QuarantineChange {
         let count = self.crash_count(digest);
-        Change { digest, customer, ends: count, quarantined: self.quarantine.contains(digest) }
+        QuarantineChange {
+            digest,
+            customer,
+            crashes: count,
+            quarantined: self.quarantine.contains(digest),
+        }
     }
 
     /// Records that a request ran to completion, so that it crashes no upstream. Clears it as a
@@ -238,7 +243,7 @@
         digest: RequestDigest,
         time: UnixMillis,
         now: Instant,
-    ) -> Vec<Change> {
+    ) -> Vec<QuarantineChange> {
         self.completions.record(digest, now);
         let suspected = self.evidence.clear(digest);
         let released = self.release(digest, time, now);
@@ -254,7 +259,7 @@
         digest: RequestDigest,
         time: UnixMillis,
         now: Instant,
-    ) -> Vec<Change> {
+    ) -> Vec<QuarantineChange> {
         let Some(VerdictReport(_, verdict)) = self.quarantine.release(digest, time) else {
             return Vec::new();
         };
@@ -269,10 +274,10 @@
         &mut self,
         process: &ProcessId,
         number: u64,
-        gossip: CrashNews,
+        gossip: CrashGossip,
         time: UnixMillis,
         now: Instant,
-    ) -> Vec<Change> {
+    ) -> Vec<QuarantineChange> {
         self.copies.replace_remote(process, number, gossip.copies, now);
         for digest in gossip.cleared {
             self.completions.record(digest, now);
@@ -281,7 +286,7 @@
             }
         }
         for lifetime in gossip.alive {
-            self.note_alive(lifetime, now);
+            self.retract_crashes(lifetime, now);
         }
         let alive = self.announced_alive.list(now);
         for mut report in gossip.suspects {
@@ -306,10 +311,10 @@
     /// which the process that quarantined them has not seen.
     fn release_completed(
         &mut self,
-        changes: &[Change],
+        changes: &[QuarantineChange],
         time: UnixMillis,
         now: Instant,
-    ) -> Vec<Change> {
+    ) -> Vec<QuarantineChange> {
         let quarantined =
             changes.iter().filter(|change| change.quarantined).map(|change| change.digest);
         let completed: Vec<_> =
@@ -324,7 +329,7 @@
         verdicts: Vec<VerdictReport>,
         time: UnixMillis,
         now: Instant,
-    ) -> Vec<Change> {
+    ) -> Vec<QuarantineChange> {
         let mut changes = Vec::new();
         for report in verdicts {
             let (digest, customer) = (report.0, report.1.customer.clone());
@@ -345,7 +350,7 @@
     }
 
     /// Returns what to tell the other gateways; `None` if there is nothing.
-    pub fn gossip(&mut self, now: Instant) -> Option<CrashNews> {
+    pub fn gossip(&mut self, now: Instant) -> Option<CrashGossip> {
         let suspects = self.announced_suspects.list(now);
         let suspects = self.with_culprits(suspects).into_iter().filter_map(|digest| {
             let Suspect { customer, crashes, .. } = self.evidence.get(digest)?.clone();
@@ -353,7 +358,7 @@
         });
         let suspects = suspects.collect();
         let announced = self.announced_verdicts.list(now);
-        let gossip = CrashNews {
+        let gossip = CrashGossip {
             suspects,
             cleared: self.announced_cleared.list(now),
             alive: self.announced_alive.list(now),
@@ -361,7 +366,7 @@
             copies: self.copies.local(|digest| self.is_tracked(digest)),
             fingerprint: self.quarantine.fingerprint(),
         };
-        (gossip != CrashNews::default()).then_some(gossip)
+        (gossip != CrashGossip::default()).then_some(gossip)
     }
 
     /// Adds the quarantined requests that were running at the same crashes. A gateway that has just
@@ -400,7 +405,7 @@
     }
 
     /// Returns the upstreams that crashed under a request, as far as this process knows.
-    pub fn ends(&self, digest: RequestDigest) -> Vec<Lifetime> {
+    pub fn crashes_under(&self, digest: RequestDigest) -> Vec<Lifetime> {
         self.suspect(digest).crashes
     }
 }
--- a/src/gateway/decide/durable_state.rs
+++ b/src/gateway/decide/durable_state.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Counts, OrderReport, QuotaBook, UsageBook, Window};
+use super::{OrderReport, QuotaLimiter, UsageCounters, UsageCounts, WindowNumber};
 use crate::gateway::{
     model::{CustomerName, ServiceName},
     peering::ProcessId,
@@ -21,11 +21,11 @@
 /// Stored state. Usage counts are stored by process, since processes that are still running
 /// report their own counts again.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Kept {
+pub struct DurableState {
     levels: BTreeMap<CustomerName, f64>,
     customers: Vec<CustomerName>,
     /// Each entry has a window, a process, and a count for each of `customers`.
-    usage: Vec<(Window, ProcessId, Vec<u64>)>,
+    usage: Vec<(WindowNumber, ProcessId, Vec<u64>)>,
     #[serde(default)]
     capacity: CapacityRecord,
 }
@@ -39,18 +39,19 @@
     pub orders: Vec<OrderReport>,
 }
 
-impl Kept {
+impl DurableState {
     /// Captures the state that is to be stored.
     pub fn of(
         levels: BTreeMap<CustomerName, f64>,
-        usage: &UsageBook,
+        usage: &UsageCounters,
         capacity: CapacityRecord,
     ) -> Self {
         let usage: Vec<_> = usage.of_all(STORED_WINDOWS).collect();
         let customers: BTreeSet<&CustomerName> =
             usage.iter().flat_map(|(_, _, counts)| counts.keys()).collect();
-        let count = |counts: &Counts, customer| counts.get(customer).copied().unwrap_or_default();
-        let row = |(window, process, counts): &(Window, &str, &Counts)| {
+        let count =
+            |counts: &UsageCounts, customer| counts.get(customer).copied().unwrap_or_default();
+        let row = |(window, process, counts): &(WindowNumber, &str, &UsageCounts)| {
             let counts = customers.iter().map(|c| count(counts, *c)).collect();
             (*window, (*process).to_owned(), counts)
         };
@@ -65,14 +66,14 @@
     /// Restores quotas and usage, and returns the capacity record.
     pub fn restore(
         self,
-        quotas: &mut QuotaBook,
-        usage: &mut UsageBook,
+        quotas: &mut QuotaLimiter,
+        usage: &mut UsageCounters,
         now: Instant,
     ) -> CapacityRecord {
         quotas.restore(&self.levels, now);
         for (window, process, counts) in self.usage {
             let counts = self.customers.iter().cloned().zip(counts).filter(|(_, n)| *n > 0);
-            usage.hear(&process, window, &counts.collect());
+            usage.merge_counts(&process, window, &counts.collect());
         }
         self.capacity
     }
--- a/src/gateway/decide/engine.rs
+++ b/src/gateway/decide/engine.rs
@@ -38,7 +38,7 @@
     /// Whether an idle connection to the upstream exists.
     pub connected: bool,
     /// Random number from 0 to 1, drawn for each candidate of each choice.
-    pub chance: f64,
+    pub jitter_sample: f64,
 }
 
 /// Returns the predicted time until the upstream begins to answer.
@@ -51,7 +51,7 @@
     let first_token = speed.first_token(c.pending_tokens + c.missing_tokens, c.running.min(slots));
     // When all slots are taken, one becomes free each time a running request ends.
     let queue_position = (c.running + 1.0 - slots).max(0.0);
-    first_token + queue_position * speed.held / slots
+    first_token + queue_position * speed.slot_seconds / slots
 }
 
 /// Returns the cost of sending the request to the candidate, in seconds. A recent failure costs
@@ -62,8 +62,8 @@
     let remote = if c.remote { REMOTE_COST_SECONDS } else { 0.0 };
     let connect = if c.connected { 0.0 } else { CONNECT_COST_SECONDS };
     let reading = READING_WEIGHT * c.missing_tokens * speed.per_token;
-    let overhead = remote + connect + c.chance * MAX_JITTER_SECONDS;
-    wait_seconds(c, speed) + reading + c.failures * speed.held + overhead
+    let overhead = remote + connect + c.jitter_sample * MAX_JITTER_SECONDS;
+    wait_seconds(c, speed) + reading + c.failures * speed.slot_seconds + overhead
 }
 
 /// Returns the index of the candidate with the lowest cost; `None` if there are no candidates.
@@ -75,7 +75,7 @@
 /// Returns the index of the candidate with the fewest requests, and among these the one with
 /// the lowest cost. Used for requests that may crash the upstream, so that as few other
 /// requests as possible are lost with it.
-pub fn least_to_lose(candidates: &[Candidate], speed: EngineSpeed) -> Option<usize> {
+pub fn choose_fewest_running(candidates: &[Candidate], speed: EngineSpeed) -> Option<usize> {
     let costs = candidates.iter().map(|c| (c.running, cost(c, speed))).enumerate();
     let rank = |a: (f64, f64), b: (f64, f64)| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1));
     costs.min_by(|a, b| rank(a.1, b.1)).map(|(i, _)| i)
--- a/src/gateway/decide/knowledge.rs
+++ b/src/gateway/decide/knowledge.rs
@@ -8,7 +8,7 @@
 
 /// Age at which knowledge counts as old: by then the readers, and the gateways that take over
 /// from them, have had time for several calls each, and none was answered.
-pub const OLD: Duration = Duration::from_millis(1_500);
+pub const KNOWLEDGE_OLD_AFTER: Duration = Duration::from_millis(1_500);
 
 /// A moment by the store's steady clock, in milliseconds.
 pub type StoreMillis = u64;
@@ -16,14 +16,14 @@
 /// How far a table of the store is known. Merging only ever moves it forward, whichever source
 /// it is merged from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Knowledge {
+pub struct SyncPoint {
     /// Revision up to which all changes are known.
     pub position: Revision,
     /// Latest moment at which the store is known to have had no later change.
     pub as_of: StoreMillis,
 }
 
-impl Knowledge {
+impl SyncPoint {
     /// Merges `other`, keeping the newer value of each field.
     pub fn advance(&mut self, other: Self) {
         self.position = self.position.max(other.position);
--- a/src/gateway/decide/leaving.rs
+++ b/src/gateway/decide/leaving.rs
@@ -30,11 +30,11 @@
 
 /// The upstreams that announced that they are leaving, by lifetime.
 #[derive(Clone, Debug, Default)]
-pub struct LeavingBook {
+pub struct LeavingTracker {
     announcements: HashMap<Lifetime, Announcement>,
 }
 
-impl LeavingBook {
+impl LeavingTracker {
     /// Records that an upstream has been leaving since `since`; the earliest such time counts.
     /// Returns whether the upstream was not known to be leaving.
     pub fn learn(&mut self, upstream: Lifetime, since: Instant, now: Instant) -> bool {
@@ -58,7 +58,7 @@
 
     /// Returns the upstreams to report in the next heartbeat, among those for which
     /// `needs_report` holds, each with the time since when it has been leaving.
-    pub fn to_tell(
+    pub fn select_reports(
         &mut self,
         needs_report: impl Fn(Lifetime) -> bool,
         now: Instant,
--- a/src/gateway/decide/mechanism.rs
+++ b/src/gateway/decide/mechanism.rs
@@ -37,16 +37,16 @@
 
 /// Disabled mechanisms; empty in production.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SwitchedOff(Vec<Mechanism>);
+pub struct DisabledMechanisms(Vec<Mechanism>);
 
-impl SwitchedOff {
+impl DisabledMechanisms {
     /// Creates the set of disabled mechanisms.
     pub fn new(mechanisms: Vec<Mechanism>) -> Self {
         Self(mechanisms)
     }
 
     /// Returns whether a mechanism is enabled.
-    pub fn is_on(&self, mechanism: Mechanism) -> bool {
+    pub fn is_enabled(&self, mechanism: Mechanism) -> bool {
         !self.0.contains(&mechanism)
     }
 }
--- a/src/gateway/decide/mod.rs
+++ b/src/gateway/decide/mod.rs
@@ -33,42 +33,52 @@
 mod window_sum;
 
 pub use backoff::Backoff;
-pub use cache::CacheBelief;
-pub use capacity::{CapacityInput, CapacityPolicy, Fleet, Wish, needed_at_start, plan_engines};
-pub use clock::TrueClock;
-pub use cooldown::RestBook;
+pub use cache::PrefixCacheEstimate;
+pub use capacity::{
+    CapacityInput, CapacityPolicy, DesiredEngines, Fleet, min_engines_at_start, plan_engines,
+};
+pub use clock::PeerCorrectedClock;
+pub use cooldown::CooldownTracker;
 pub use crashes::{
-    Break, Breaks, Change, CopyReport, CrashBook, CrashNews, CrashVerdict, Permission,
-    SuspectReport, TrialTurn, VerdictReport,
+    CopyReport, CrashGossip, CrashTracker, CrashVerdict, InterruptedAttempt, InterruptedAttempts,
+    Permission, QuarantineChange, SuspectReport, TrialTurn, VerdictReport,
 };
-pub use durable_state::{CapacityRecord, Kept};
-pub use engine::{Candidate, choose_engine, least_to_lose, predicted_wait};
+pub use durable_state::{CapacityRecord, DurableState};
+pub use engine::{Candidate, choose_engine, choose_fewest_running, predicted_wait};
 pub use fan_out::{
-    DIRECT, FAR_BYTES, NEAR_BYTES, PASSED_ON_WITHIN, Receivers, dealt, far_shares, receivers, turns,
+    HEARTBEAT_FAN_OUT, MAX_FAR_DATAGRAM_BYTES, MAX_NEAR_DATAGRAM_BYTES, MAX_RELAY_AGE,
+    ReceiverCount, choose_receiver_count, receivers_per_data_centre, relay_order,
+    rotating_receivers,
+};
+pub use knowledge::{KNOWLEDGE_OLD_AFTER, StoreClock, StoreMillis, SyncPoint};
+pub use leaving::{LeavingReport, LeavingTracker};
+pub use mechanism::{DisabledMechanisms, Mechanism};
+pub use need::{
+    LoadMeter, Occupancy, RequestCost, ServiceLoad, engines_needed, mean_cost, occupancy,
 };
-pub use knowledge::{Knowledge, OLD, StoreClock, StoreMillis};
-pub use leaving::{LeavingBook, LeavingReport};
-pub use mechanism::{Mechanism, SwitchedOff};
-pub use need::{Busy, LoadMeter, RequestCost, ServiceLoad, busy, engines_needed, mean_cost};
-pub use order_pacer::{OrderPacer, OrderState, PaceInput};
-pub use orders::{OrderBook, OrderKey, OrderReport};
+pub use order_pacer::{OrderPacer, OrderPacerInput, OrderState};
+pub use orders::{EngineOrders, OrderKey, OrderReport};
 pub use outcomes::{OutcomeMeter, Outcomes};
 pub use peak::{Need, NeedMeter, NeedPeak};
-pub use quota::{PeerTotal, QuotaBook, QuotaShare, QuotaTerms, QuotaUsedUp};
+pub use quota::{PeerTotal, QuotaLimiter, QuotaPolicy, QuotaShare, QuotaUsedUp};
 pub use rate_limit::{
-    GRANT_RETRY, Holder, HolderAnswer, LimitBook, LimitMembers, LimitNotice, LimitReport,
+    GRANT_RETRY_DELAY, GrantAnswer, LimitAnnouncement, LimitMembers, LimitReport, RateLimiter,
+    ShareHolder,
+};
+pub use reading::{
+    READER_COUNT, ReadAction, ReaderCandidate, max_read_interval, next_read_action, reader_rank,
+    startup_read_delay,
 };
-pub use reading::{READERS, Reader, Turn, longest_calm_gap, rank, turn, wait_at_start};
-pub use removal::{Removal, RowCount, have_lapsed};
-pub use reporting::{beats_a_report, wait_after_takeover};
-pub use retry::{RetryBook, RetryTerms};
+pub use removal::{Removal, RowCount, rows_lapsed};
+pub use reporting::{heartbeats_per_report, wait_after_takeover};
+pub use retry::{RetryPolicy, ServiceRetryBudgets};
 pub use rollout::{
-    AnswerCount, AnswerRow, Doubt, Exposing, ExposureTerms, Findings, Member, RolloutBook,
-    RolloutChange, RolloutEnd, RolloutOrder, RolloutReport, RolloutStage, RolloutView, RouteKey,
-    SentRow, Side, TypicalTimes,
+    AnswerCount, AnswerRow, ExposureContext, ExposureTerms, Findings, GatewayCounts,
+    RolloutBlocker, RolloutChange, RolloutEnd, RolloutOrder, RolloutReport, RolloutStage,
+    RolloutTracker, RolloutView, RouteKey, SentRow, TypicalTimes, VersionGroup,
 };
-pub use speed::{EngineSpeed, FirstToken, SpeedModel};
-pub use store_stability::Steadiness;
-pub use upstream_health::{Breaker, Verdict};
-pub use usage::{Counts, UsageBook, Window};
+pub use speed::{EngineSpeed, FirstTokenSample, SpeedModel};
+pub use store_stability::StoreStability;
+pub use upstream_health::{AttemptOutcome, UpstreamHealth};
+pub use usage::{UsageCounters, UsageCounts, WindowNumber};
 pub use window_sum::WindowSum;
--- a/src/gateway/decide/need.rs
+++ b/src/gateway/decide/need.rs
@@ -54,7 +54,7 @@
     /// Prompt tokens that no cache holds.
     pub tokens: f64,
     /// Time for which a request holds a slot, in seconds.
-    pub held: f64,
+    pub slot_seconds: f64,
 }
 
 /// Load of one service, measured from the requests that callers send to this process.
@@ -126,8 +126,9 @@
             (count > 0.0).then(|| sum.get(now) / count)
         };
         let tokens = mean(&self.tokens, &self.requests)?;
-        let held = mean(&self.held, &self.completions).unwrap_or(EngineSpeed::default().held);
-        Some(RequestCost { tokens, held })
+        let held =
+            mean(&self.held, &self.completions).unwrap_or(EngineSpeed::default().slot_seconds);
+        Some(RequestCost { tokens, slot_seconds: held })
     }
 }
 
@@ -148,14 +149,15 @@
     for load in loads {
         rate += load.rate;
         sum.tokens += load.rate * load.cost.tokens;
-        sum.held += load.rate * load.cost.held;
+        sum.slot_seconds += load.rate * load.cost.slot_seconds;
     }
-    (rate > 0.0).then(|| RequestCost { tokens: sum.tokens / rate, held: sum.held / rate })
+    (rate > 0.0)
+        .then(|| RequestCost { tokens: sum.tokens / rate, slot_seconds: sum.slot_seconds / rate })
 }
 
 /// Average capacity that a load occupies.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Busy {
+pub struct Occupancy {
     /// Number of engines occupied with reading prompts.
     pub reading: f64,
     /// Number of slots in use.
@@ -163,16 +165,16 @@
 }
 
 /// Returns the average capacity that a load occupies at engines of the given speed.
-pub fn busy(load: ServiceLoad, speed: EngineSpeed) -> Busy {
+pub fn occupancy(load: ServiceLoad, speed: EngineSpeed) -> Occupancy {
     let ServiceLoad { rate, cost } = load;
-    Busy { reading: rate * cost.tokens * speed.per_token, slots: rate * cost.held }
+    Occupancy { reading: rate * cost.tokens * speed.per_token, slots: rate * cost.slot_seconds }
 }
 
 /// Returns the engines required for the occupied capacity, where each engine has `slots` slots.
 /// The occupied capacity varies by about the square root of its mean, so `safety` times that is
 /// added, separately for engines that read prompts and for slots, since a request occupies one
 /// of each.
-pub fn engines_needed(busy: Busy, slots: u32, safety: f64) -> f64 {
+pub fn engines_needed(busy: Occupancy, slots: u32, safety: f64) -> f64 {
     let with_margin = |mean: f64| mean + safety * mean.sqrt();
     with_margin(busy.reading) + with_margin(busy.slots) / f64::from(slots.max(1))
 }
--- a/src/gateway/decide/order_pacer.rs
+++ b/src/gateway/decide/order_pacer.rs
@@ -17,15 +17,15 @@
 
 /// Current state of one kind of engine in one data centre.
 #[derive(Clone, Copy, Debug)]
-pub struct PaceInput {
+pub struct OrderPacerInput {
     /// Number of engines to have.
-    pub wished: u32,
+    pub target_count: u32,
     /// Number of engines that serve.
     pub serving: u32,
     /// Whether the engines are reclaimable.
     pub reclaimable: bool,
     /// Whether the platform has no reclaimable engines to give.
-    pub dry: bool,
+    pub reclaimable_unavailable: bool,
     /// Whether the service has no load; engines are then given up without delay.
     pub idle: bool,
     /// Whether the load is known well enough to give up engines.
@@ -118,14 +118,14 @@
     }
 
     /// Returns the number of engines to order now; `None` if no order is due.
-    pub fn next_order(&mut self, input: &PaceInput, now: Instant) -> Option<u32> {
+    pub fn next_order(&mut self, input: &OrderPacerInput, now: Instant) -> Option<u32> {
         let age = now.saturating_duration_since(self.ordered_at);
         self.observe_serving(input.serving);
         let accepted = self.state == OrderState::Accepted;
         if self.in_flight || (!accepted && age < RETRY_DELAY) {
             return None;
         }
-        let PaceInput { wished: desired, serving, .. } = *input;
+        let OrderPacerInput { target_count: desired, serving, .. } = *input;
         if desired > serving && (desired > self.count || !accepted) {
             self.pending_reduction = None;
             return Some(desired);
@@ -147,19 +147,19 @@
         self.last_serving = serving;
     }
 
-    fn reduce(&mut self, input: &PaceInput, now: Instant) -> Option<u32> {
+    fn reduce(&mut self, input: &OrderPacerInput, now: Instant) -> Option<u32> {
         // The platform may have no others to give after these are given up.
-        let irreplaceable = input.dry && input.reclaimable && !input.idle;
+        let irreplaceable = input.reclaimable_unavailable && input.reclaimable && !input.idle;
         if !input.load_known || irreplaceable {
             self.pending_reduction = None;
             return None;
         }
         if input.idle {
-            return Some(input.wished);
+            return Some(input.target_count);
         }
         let reduction =
             self.pending_reduction.get_or_insert(PendingReduction { since: now, max_desired: 0 });
-        reduction.max_desired = reduction.max_desired.max(input.wished);
+        reduction.max_desired = reduction.max_desired.max(input.target_count);
         let held = now.saturating_duration_since(reduction.since);
         (held >= REDUCTION_DELAY).then_some(reduction.max_desired)
     }
--- a/src/gateway/decide/orders.rs
+++ b/src/gateway/decide/orders.rs
@@ -8,7 +8,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{Fleet, OrderPacer, OrderState, PaceInput};
+use super::{Fleet, OrderPacer, OrderPacerInput, OrderState};
 use crate::{gateway::model::ServiceName, ids::DataCentre};
 
 /// Service, data centre and kind of engine that an order is for.
@@ -37,11 +37,11 @@
 
 /// Orders of engines for all services.
 #[derive(Debug, Default)]
-pub struct OrderBook {
+pub struct EngineOrders {
     pacers: BTreeMap<OrderKey, OrderPacer>,
 }
 
-impl OrderBook {
+impl EngineOrders {
     /// Drops all orders, for when another process gives them from now on.
     pub fn clear(&mut self) {
         self.pacers.clear();
@@ -76,14 +76,14 @@
     }
 
     /// Returns whether the platform has recently refused reclaimable engines to a service.
-    pub fn is_dry(&self, service: &str, now: Instant) -> bool {
+    pub fn is_reclaimable_unavailable(&self, service: &str, now: Instant) -> bool {
         let of_service = self.pacers.iter().filter(|(key, _)| key.service == service);
         let mut reclaimable = of_service.filter(|(key, _)| key.reclaimable);
         reclaimable.any(|(_, pacer)| pacer.is_refused(now))
     }
 
     /// Sets in each data centre which engines of earlier orders may still start.
-    pub fn expect(
+    pub fn add_expected_engines(
         &self,
         service: &str,
         fleets: &mut BTreeMap<DataCentre, Fleet>,
@@ -103,7 +103,12 @@
 
     /// Returns the number of engines to order now; `None` if no order is due. The order is
     /// taken to be sent when this returns.
-    pub fn next(&mut self, key: &OrderKey, input: &PaceInput, now: Instant) -> Option<u32> {
+    pub fn next_order_count(
+        &mut self,
+        key: &OrderKey,
+        input: &OrderPacerInput,
+        now: Instant,
+    ) -> Option<u32> {
         let entry = self.pacers.entry(key.clone());
         let pacer = entry.or_insert_with(|| OrderPacer::new(input.serving, now));
         let count = pacer.next_order(input, now)?;
@@ -112,7 +117,7 @@
     }
 
     /// Records the result of an order of `count` engines.
-    pub fn answered(&mut self, key: &OrderKey, count: u32, state: OrderState) {
+    pub fn record_order_result(&mut self, key: &OrderKey, count: u32, state: OrderState) {
         if let Some(pacer) = self.pacers.get_mut(key) {
             pacer.record_result(count, state);
         }
--- a/src/gateway/decide/outcomes.rs
+++ b/src/gateway/decide/outcomes.rs
@@ -24,12 +24,12 @@
 
 impl Outcomes {
     /// Returns the factor by which the weight of answers decays over `time`.
-    pub fn left_after(time: Duration) -> f64 {
+    pub fn remaining_weight(time: Duration) -> f64 {
         0.5_f64.powf(time.as_secs_f64() / HALF_LIFE.as_secs_f64())
     }
 
     /// Returns the answers, scaled by a factor.
-    pub fn share(self, share: f64) -> Self {
+    pub fn weighted_by(self, share: f64) -> Self {
         Self { answers: self.answers * share, failures: self.failures * share }
     }
 
@@ -72,6 +72,7 @@
 
     /// Returns the answers, decayed to `now`.
     pub fn read(&self, now: Instant) -> Outcomes {
-        self.seen.share(Outcomes::left_after(now.saturating_duration_since(self.updated_at)))
+        self.seen
+            .weighted_by(Outcomes::remaining_weight(now.saturating_duration_since(self.updated_at)))
     }
 }
--- a/src/gateway/decide/peak.rs
+++ b/src/gateway/decide/peak.rs
@@ -68,7 +68,7 @@
     }
 
     /// Records the requirement at `now` and returns the engines to keep.
-    pub fn note(&mut self, need: f64, now: Instant) -> Need {
+    pub fn record_need(&mut self, need: f64, now: Instant) -> Need {
         Need {
             engines: self.engines.record(need, now),
             reclaimable: self.reclaimable.record(need, now),
--- a/src/gateway/decide/quota.rs
+++ b/src/gateway/decide/quota.rs
@@ -57,14 +57,14 @@
 
 /// How the operator counts quotas.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QuotaTerms {
+pub struct QuotaPolicy {
     /// Window over which a customer's requests are summed.
     pub window: Duration,
     /// Tokens that a bucket may hold beyond the burst.
     pub extra: f64,
 }
 
-impl Default for QuotaTerms {
+impl Default for QuotaPolicy {
     fn default() -> Self {
         Self { window: DEFAULT_WINDOW, extra: 0.0 }
     }
@@ -101,11 +101,11 @@
 
 /// Token buckets of all customers.
 #[derive(Debug)]
-pub struct QuotaBook {
+pub struct QuotaLimiter {
     buckets: HashMap<CustomerName, Bucket>,
     refill_from: Instant,
     restored_levels: BTreeMap<CustomerName, f64>,
-    terms: QuotaTerms,
+    terms: QuotaPolicy,
 }
 
 /// Reason for which a request exceeds its customer's quota.
@@ -136,7 +136,7 @@
     pub total: i64,
 }
 
-impl QuotaBook {
+impl QuotaLimiter {
     /// Creates the buckets of a process that started at `started`. They are empty until stored
     /// levels are restored: the processes before may have used the whole quota just before.
     pub fn new(started: Instant) -> Self {
@@ -144,12 +144,12 @@
             buckets: HashMap::new(),
             refill_from: started + DISCOVERY_TIME,
             restored_levels: BTreeMap::new(),
-            terms: QuotaTerms::default(),
+            terms: QuotaPolicy::default(),
         }
     }
 
     /// Sets how the operator counts.
-    pub fn set_terms(&mut self, terms: QuotaTerms) {
+    pub fn set_terms(&mut self, terms: QuotaPolicy) {
         self.terms = terms;
     }
 
@@ -201,7 +201,7 @@
     /// Records the total that another process has admitted since its start. What an `older`
     /// process admitted before its first report to this one is ignored: it is already part of
     /// the levels that this process started from.
-    pub fn hear(&mut self, peer: PeerTotal<'_>, quota: Quota, now: Instant) {
+    pub fn record_peer_total(&mut self, peer: PeerTotal<'_>, quota: Quota, now: Instant) {
         let window = self.terms.window;
         let bucket = self.bucket(peer.customer, quota, now);
         let previous = bucket.peers.get(peer.process).copied();
@@ -274,7 +274,7 @@
         self.peers.values().map(|o| o.assumed_tokens(now)).sum()
     }
 
-    fn refill(&mut self, share: QuotaShare, terms: QuotaTerms, now: Instant) {
+    fn refill(&mut self, share: QuotaShare, terms: QuotaPolicy, now: Instant) {
         let elapsed = now.saturating_duration_since(self.refilled_at).as_secs_f64();
         self.refilled_at = self.refilled_at.max(now);
         let refill = self.quota.rate * share.fraction() * elapsed;
@@ -287,7 +287,7 @@
         tokens: f64,
         assumed: f64,
         share: QuotaShare,
-        terms: QuotaTerms,
+        terms: QuotaPolicy,
     ) -> Option<Duration> {
         let max_level = self.quota.burst + terms.extra;
         // Reserved for processes that are not heard from.
@@ -308,7 +308,7 @@
         tokens: f64,
         assumed: f64,
         share: QuotaShare,
-        terms: QuotaTerms,
+        terms: QuotaPolicy,
         now: Instant,
     ) -> Option<Duration> {
         let limit = self.quota.rate * terms.window.as_secs_f64() + self.quota.burst;
--- a/src/gateway/decide/rate_limit.rs
+++ b/src/gateway/decide/rate_limit.rs
@@ -31,16 +31,16 @@
 /// Holders of a limit that a gateway may ask. Different gateways ask different holders.
 const MAX_HOLDERS_TO_ASK: usize = 4;
 /// Delay before a holder is asked again that did not answer, or has no share or no known limit.
-pub const GRANT_RETRY: Duration = Duration::from_secs(1);
+pub const GRANT_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Shortest delay before a holder that denied a request is asked again.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// A gateway that may hold shares of limits, identified by a hash of its host name: a gateway that
 /// restarts keeps its shares.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Holder(u64);
+pub struct ShareHolder(u64);
 
-impl Holder {
+impl ShareHolder {
     /// Returns the identifier of the gateway on `host`.
     pub fn new(host: &str) -> Self {
         Self(prefix::hash(host.as_bytes()))
@@ -49,7 +49,7 @@
 
 /// Answer of a holder that was asked to grant a request from its share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HolderAnswer {
+pub enum GrantAnswer {
     /// The request may be sent.
     Granted,
     /// The holder expects no capacity for this long.
@@ -58,7 +58,7 @@
 
 /// A rate limit that an upstream announced in a response, or the end of one.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct LimitNotice {
+pub struct LimitAnnouncement {
     /// Requests a second from all gateways together; `None` if the upstream has no limit.
     pub rate: Option<f64>,
     /// Time of the announcement, by the store's clock; the newest one counts.
@@ -71,14 +71,14 @@
     /// The upstream that the limit protects.
     pub Lifetime,
     /// Its newest announcement that the reporting gateway knows.
-    pub LimitNotice,
+    pub LimitAnnouncement,
 );
 
 /// The gateways among which limits are divided.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitMembers {
-    own: Holder,
-    others: Vec<Holder>,
+    own: ShareHolder,
+    others: Vec<ShareHolder>,
     /// Whether this gateway takes a share.
     takes_share: bool,
 }
@@ -86,8 +86,12 @@
 impl LimitMembers {
     /// Creates the members from this gateway (`own`) and the others, which may repeat or include
     /// `own`. Without `takes_share`, this gateway has no share of any limit.
-    pub fn new(own: Holder, others: impl Iterator<Item = Holder>, takes_share: bool) -> Self {
-        let mut others: Vec<Holder> = others.filter(|o| *o != own).collect();
+    pub fn new(
+        own: ShareHolder,
+        others: impl Iterator<Item = ShareHolder>,
+        takes_share: bool,
+    ) -> Self {
+        let mut others: Vec<ShareHolder> = others.filter(|o| *o != own).collect();
         others.sort_unstable();
         others.dedup();
         Self { own, others, takes_share }
@@ -95,10 +99,10 @@
 
     /// Returns this gateway's share of an upstream's rate, in requests a second, and other holders
     /// that it may ask.
-    fn divide(&self, upstream: Lifetime, rate: f64) -> (f64, Vec<Holder>) {
+    fn divide(&self, upstream: Lifetime, rate: f64) -> (f64, Vec<ShareHolder>) {
         // Each holder may be up to one request ahead of its share, so their number is bounded.
         let holders = (rate as usize).saturating_add(1).min(self.others.len() + 1);
-        let rank = |holder: &Holder| Reverse(score(upstream, *holder));
+        let rank = |holder: &ShareHolder| Reverse(score(upstream, *holder));
         let mut others = self.others.clone();
         let own = rank(&self.own);
         let is_holder = others.iter().filter(|o| rank(o) < own).count() < holders;
@@ -107,7 +111,7 @@
             others.truncate(holders);
         }
         // Spreads the questions of different gateways over the holders.
-        others.sort_unstable_by_key(|holder| score(upstream, Holder(holder.0 ^ self.own.0)));
+        others.sort_unstable_by_key(|holder| score(upstream, ShareHolder(holder.0 ^ self.own.0)));
         others.truncate(MAX_HOLDERS_TO_ASK);
         let share = if self.takes_share && is_holder { rate / holders as f64 } else { 0.0 };
         (share, others)
@@ -116,7 +120,7 @@
 
 /// Rendezvous hash of a gateway for an upstream: a mix of both identifiers in which each bit
 /// affects the result.
-fn score(upstream: Lifetime, gateway: Holder) -> u64 {
+fn score(upstream: Lifetime, gateway: ShareHolder) -> u64 {
     let mut mixed = gateway.0 ^ upstream.seed();
     for multiplier in [0xbf58_476d_1ce4_e5b9, 0x94d0_49bb_1331_11eb] {
         mixed = (mixed ^ (mixed >> 29)).wrapping_mul(multiplier);
@@ -177,13 +181,13 @@
 /// A holder that may be asked for a grant, from `not_before` on.
 #[derive(Clone, Copy, Debug)]
 struct HolderToAsk {
-    holder: Holder,
+    holder: ShareHolder,
     not_before: Instant,
 }
 
 #[derive(Clone, Debug)]
 struct Limit {
-    notice: LimitNotice,
+    notice: LimitAnnouncement,
     bucket: TokenBucket,
     /// Until when the end of the limit is reported, if it has ended.
     report_end_until: Instant,
@@ -202,16 +206,16 @@
 
 /// The newest known limit of each upstream that announced one, and this gateway's share of it.
 #[derive(Clone, Debug, Default)]
-pub struct LimitBook {
+pub struct RateLimiter {
     limits: HashMap<Lifetime, Limit>,
     /// Members of the last division; `None` before the first.
     members: Option<LimitMembers>,
 }
 
-impl LimitBook {
+impl RateLimiter {
     /// Takes an upstream's announcement unless a newer one is known; returns whether the
     /// upstream's limit changes.
-    pub fn learn(&mut self, upstream: Lifetime, notice: LimitNotice, now: Instant) -> bool {
+    pub fn learn(&mut self, upstream: Lifetime, notice: LimitAnnouncement, now: Instant) -> bool {
         let report_end_until = now + LIMIT_END_REPORT_TIME;
         let Some(known) = self.limits.get_mut(&upstream) else {
             if notice.rate.is_some() {
@@ -283,22 +287,26 @@
         // The asking gateway knows of a limit. This one may not have heard of it yet, so it must not
         // treat the upstream as unlimited.
         let limit = self.limits.get_mut(&upstream).filter(|l| l.notice.rate.is_some());
-        let limit = limit.ok_or(GRANT_RETRY)?;
+        let limit = limit.ok_or(GRANT_RETRY_DELAY)?;
         match limit.bucket.take(now) {
             true => Ok(()),
-            false => Err(limit.bucket.wait(now).unwrap_or(GRANT_RETRY)),
+            false => Err(limit.bucket.wait(now).unwrap_or(GRANT_RETRY_DELAY)),
         }
     }
 
     /// Returns the holders that may have capacity and may be asked at `now`.
-    pub fn holders_to_ask(&self, upstream: Lifetime, now: Instant) -> impl Iterator<Item = Holder> {
+    pub fn holders_to_ask(
+        &self,
+        upstream: Lifetime,
+        now: Instant,
+    ) -> impl Iterator<Item = ShareHolder> {
         let limit = self.limits.get(&upstream).filter(|l| l.notice.rate.is_some());
         let holders = limit.into_iter().flat_map(|l| &l.holders);
         holders.filter(move |h| h.not_before <= now).map(|h| h.holder)
     }
 
     /// Returns the time until another holder may be asked; `None` if there is none.
-    pub fn wait_of_others(&self, upstream: Lifetime, now: Instant) -> Option<Duration> {
+    pub fn wait_for_holders(&self, upstream: Lifetime, now: Instant) -> Option<Duration> {
         let holders = &self.limits.get(&upstream)?.holders;
         let waits = holders.iter().map(|h| h.not_before.saturating_duration_since(now));
         waits.min().map(|wait| wait.max(MIN_RETRY_DELAY))
@@ -308,13 +316,13 @@
     pub fn note_answer(
         &mut self,
         upstream: Lifetime,
-        holder: Holder,
-        answer: HolderAnswer,
+        holder: ShareHolder,
+        answer: GrantAnswer,
         now: Instant,
     ) {
         let limit = self.limits.get_mut(&upstream);
         let entry = limit.and_then(|l| l.holders.iter_mut().find(|h| h.holder == holder));
-        if let (Some(entry), HolderAnswer::Denied(wait)) = (entry, answer) {
+        if let (Some(entry), GrantAnswer::Denied(wait)) = (entry, answer) {
             entry.not_before = now + wait.max(MIN_RETRY_DELAY);
         }
     }
@@ -336,7 +344,7 @@
     }
 
     /// Returns the number of upstreams that have a limit.
-    pub fn limited(&self) -> usize {
+    pub fn count_limited(&self) -> usize {
         self.limits.values().filter(|l| l.notice.rate.is_some()).count()
     }
 
--- a/src/gateway/decide/reading.rs
+++ b/src/gateway/decide/reading.rs
@@ -12,11 +12,11 @@
 
 /// Number of gateways that read the store on behalf of all. Each call is billed; with three
 /// readers, one is left when two are cut off.
-pub const READERS: usize = 3;
+pub const READER_COUNT: usize = 3;
 /// Interval between the calls of one reader. Some reader begins a call in every `CALL_SPACING`,
 /// which leaves time for the result to reach all gateways within a second.
 const READER_INTERVAL: Duration =
-    Duration::from_millis(CALL_SPACING.as_millis() as u64 * READERS as u64);
+    Duration::from_millis(CALL_SPACING.as_millis() as u64 * READER_COUNT as u64);
 /// Interval between the calls of all readers together.
 pub const CALL_SPACING: Duration = Duration::from_millis(500);
 /// Time in which the result of a call reaches all gateways.
@@ -42,32 +42,35 @@
 /// Returns how long a starting gateway waits to receive the list of upstreams from others before
 /// it reads the list itself. `rank` is its place among all gateways that have announced
 /// themselves, from 0.
-pub fn wait_at_start(rank: usize) -> Duration {
+pub fn startup_read_delay(rank: usize) -> Duration {
     STARTUP_BATCH_INTERVAL * (rank / STARTUP_BATCH) as u32
 }
 
 /// Returns the longest time between two reads of a table, as other gateways see them, while the
 /// store answers. With fewer gateways than readers, fewer calls are made.
-pub fn longest_calm_gap(gateways: usize) -> Duration {
-    READER_INTERVAL / READERS.min(gateways.max(1)) as u32 + PROPAGATION_TIME
+pub fn max_read_interval(gateways: usize) -> Duration {
+    READER_INTERVAL / READER_COUNT.min(gateways.max(1)) as u32 + PROPAGATION_TIME
 }
 
 /// A gateway process that may become a reader. Candidates that the store answers sort first, then
 /// by process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Reader<'a> {
+pub struct ReaderCandidate<'a> {
     /// Whether the store does not answer this process, as far as is known.
-    pub turned_away: bool,
+    pub store_unreachable: bool,
     /// Identifier of the process.
     pub process: &'a str,
 }
 
 /// Returns the rank of `own` among the readers, from 0; `None` if it is not a reader. The first
-/// `READERS` of all serving gateways that are heard are the readers: those that the store answers
+/// `READER_COUNT` of all serving gateways that are heard are the readers: those that the store answers
 /// come first. If the store answers nobody, the first ones by process remain readers.
-pub fn rank<'a>(own: Reader<'a>, others: impl Iterator<Item = Reader<'a>>) -> Option<usize> {
-    let before = others.filter(|other| *other < own).take(READERS).count();
-    (before < READERS).then_some(before)
+pub fn reader_rank<'a>(
+    own: ReaderCandidate<'a>,
+    others: impl Iterator<Item = ReaderCandidate<'a>>,
+) -> Option<usize> {
+    let before = others.filter(|other| *other < own).take(READER_COUNT).count();
+    (before < READER_COUNT).then_some(before)
 }
 
 /// Returns whether `own`, which is not a reader, makes the call of fallback interval number
@@ -75,16 +78,16 @@
 /// number of gateways. The order is by hash, so that gateways of one data centre, which may be cut
 /// off together, do not follow each other.
 fn is_fallback_reader<'a>(
-    own: Reader<'a>,
-    others: impl Iterator<Item = Reader<'a>>,
+    own: ReaderCandidate<'a>,
+    others: impl Iterator<Item = ReaderCandidate<'a>>,
     interval: u64,
 ) -> bool {
-    let mut all: Vec<Reader<'a>> = others.chain([own]).collect();
+    let mut all: Vec<ReaderCandidate<'a>> = others.chain([own]).collect();
     all.sort_unstable();
     // The readers call anyway.
-    let mut candidates = all.split_off(READERS.min(all.len()));
-    if candidates.iter().any(|c| !c.turned_away) {
-        candidates.retain(|c| !c.turned_away);
+    let mut candidates = all.split_off(READER_COUNT.min(all.len()));
+    if candidates.iter().any(|c| !c.store_unreachable) {
+        candidates.retain(|c| !c.store_unreachable);
     }
     candidates.sort_by_cached_key(|c| prefix::hash(c.process.as_bytes()));
     let chosen = interval as usize % candidates.len().max(1);
@@ -93,34 +96,34 @@
 
 /// What a gateway does next about a table that it follows in the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum ReadAction {
     /// As a reader, calls and waits this long for changes; its next call follows then.
-    Wait(Duration),
+    LongPoll(Duration),
     /// In place of the readers, calls without waiting for changes, and decides again after this
     /// time.
-    StandIn(Duration),
+    FallbackRead(Duration),
     /// Makes no call, and decides again after this time.
-    Later(Duration),
+    Recheck(Duration),
 }
 
 /// Returns what a gateway does next whose knowledge of a table has the age `age`. `now` is the
 /// time by the store's clock.
-pub fn turn<'a, I: Iterator<Item = Reader<'a>>>(
-    own: Reader<'a>,
+pub fn next_read_action<'a, I: Iterator<Item = ReaderCandidate<'a>>>(
+    own: ReaderCandidate<'a>,
     others: impl Fn() -> I,
     age: Duration,
     now: StoreMillis,
-) -> Turn {
-    if let Some(rank) = rank(own, others()) {
-        return Turn::Wait(until_next_call(rank, now));
+) -> ReadAction {
+    if let Some(rank) = reader_rank(own, others()) {
+        return ReadAction::LongPoll(until_next_call(rank, now));
     }
     if age < FALLBACK_AGE {
-        return Turn::Later(RECHECK_INTERVAL.min(FALLBACK_AGE - age));
+        return ReadAction::Recheck(RECHECK_INTERVAL.min(FALLBACK_AGE - age));
     }
     let next_interval = FALLBACK_INTERVAL - Duration::from_millis(now % millis(FALLBACK_INTERVAL));
     match is_fallback_reader(own, others(), now / millis(FALLBACK_INTERVAL)) {
-        true => Turn::StandIn(next_interval),
-        false => Turn::Later(next_interval),
+        true => ReadAction::FallbackRead(next_interval),
+        false => ReadAction::Recheck(next_interval),
     }
 }
 
@@ -129,7 +132,7 @@
 /// call again together.
 fn until_next_call(rank: usize, now: StoreMillis) -> Duration {
     let interval = millis(READER_INTERVAL);
-    let own = interval * rank as u64 / READERS as u64;
+    let own = interval * rank as u64 / READER_COUNT as u64;
     let left = Duration::from_millis(interval - (now + interval - own) % interval);
     if left < MIN_LONG_POLL { left + READER_INTERVAL } else { left }
 }
--- a/src/gateway/decide/removal.rs
+++ b/src/gateway/decide/removal.rs
@@ -46,7 +46,7 @@
     /// Returns until when the row may come back, by the store's clock. The grace period starts at
     /// the earliest moment at which the store can have returned, which may be up to one call
     /// interval before any gateway saw it.
-    pub fn expected_until(self) -> StoreMillis {
+    pub fn grace_period_end(self) -> StoreMillis {
         let unseen = CALL_SPACING.as_millis() as StoreMillis;
         let back = self.last_seen.max(self.store_back.saturating_sub(unseen));
         back + LAPSE_GRACE.as_millis() as StoreMillis
@@ -73,6 +73,6 @@
 /// Returns whether the missing rows of a service have lapsed: more than half of all rows are
 /// missing, or all rows of the service. A store that loses rows loses most of them, while
 /// upstreams that leave do so a few at a time.
-pub fn have_lapsed(of_service: RowCount, of_all: RowCount) -> bool {
+pub fn rows_lapsed(of_service: RowCount, of_all: RowCount) -> bool {
     2 * of_all.missing > of_all.known || of_service.missing == of_service.known
 }
--- a/src/gateway/decide/retry.rs
+++ b/src/gateway/decide/retry.rs
@@ -14,7 +14,7 @@
 
 /// Limits of the retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryTerms {
+pub struct RetryPolicy {
     /// Retries allowed per request.
     pub ratio: f64,
     /// Additional retries allowed per window, over all processes.
@@ -31,13 +31,13 @@
 
 /// Requests and retries of this process, by service.
 #[derive(Debug, Default)]
-pub struct RetryBook {
+pub struct ServiceRetryBudgets {
     services: HashMap<ServiceName, ServiceHistory>,
 }
 
-impl RetryBook {
+impl ServiceRetryBudgets {
     /// Records a request.
-    pub fn request(&mut self, service: &ServiceName, terms: RetryTerms, now: Instant) {
+    pub fn request(&mut self, service: &ServiceName, terms: RetryPolicy, now: Instant) {
         let history = self.services.entry(service.clone()).or_default();
         history.expire(terms.window, now);
         history.requests.push_back(now);
@@ -48,7 +48,7 @@
     pub fn take(
         &mut self,
         service: &ServiceName,
-        terms: RetryTerms,
+        terms: RetryPolicy,
         processes: usize,
         now: Instant,
     ) -> bool {
--- a/src/gateway/decide/rollout/answers.rs
+++ b/src/gateway/decide/rollout/answers.rs
@@ -23,7 +23,7 @@
 
 /// Group of versions that an upstream belongs to during a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Side {
+pub enum VersionGroup {
     /// The versions that had the traffic before.
     Earlier,
     /// The version that is to get the traffic.
@@ -76,26 +76,26 @@
     /// The route.
     pub RouteKey,
     /// The group of versions.
-    pub Side,
+    pub VersionGroup,
     /// The counts.
     pub AnswerCount,
 );
 
 /// Counts of answers by interval, route and group of versions.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerCounts(BTreeMap<(u8, RouteKey, Side), AnswerCount>);
+pub struct AnswerCounts(BTreeMap<(u8, RouteKey, VersionGroup), AnswerCount>);
 
 impl AnswerCounts {
     /// Counts an answer.
-    pub fn note(&mut self, interval: u8, route: RouteKey, side: Side, bad: bool) {
-        let count = self.0.entry((interval, route, side)).or_default();
+    pub fn note(&mut self, interval: u8, route: RouteKey, version_group: VersionGroup, bad: bool) {
+        let count = self.0.entry((interval, route, version_group)).or_default();
         *count += AnswerCount { all: 1, bad: u32::from(bad) };
     }
 
     /// Merges newer counts of the same process, and adds the increase to `sum`.
     pub fn merge(&mut self, rows: &[AnswerRow], sum: &mut Self) {
-        for AnswerRow(interval, route, side, count) in rows {
-            let key = (*interval, *route, *side);
+        for AnswerRow(interval, route, version_group, count) in rows {
+            let key = (*interval, *route, *version_group);
             let known = self.0.entry(key).or_default();
             let newest = known.max(*count);
             *sum.0.entry(key).or_default() += newest - *known;
@@ -107,7 +107,9 @@
     pub fn rows(&self) -> Vec<AnswerRow> {
         self.0
             .iter()
-            .map(|((interval, route, side), count)| AnswerRow(*interval, *route, *side, *count))
+            .map(|((interval, route, version_group), count)| {
+                AnswerRow(*interval, *route, *version_group, *count)
+            })
             .collect()
     }
 
@@ -120,9 +122,9 @@
     }
 
     /// Returns the answers on a route from the interval `first` on.
-    pub fn since(&self, first: u8, route: RouteKey, side: Side) -> AnswerCount {
-        let is_counted = |((interval, r, s), _): &(&(u8, RouteKey, Side), &AnswerCount)| {
-            *interval >= first && *r == route && *s == side
+    pub fn since(&self, first: u8, route: RouteKey, version_group: VersionGroup) -> AnswerCount {
+        let is_counted = |((interval, r, s), _): &(&(u8, RouteKey, VersionGroup), &AnswerCount)| {
+            *interval >= first && *r == route && *s == version_group
         };
         let rows = self.0.iter().filter(is_counted);
         rows.fold(AnswerCount::default(), |sum, (_, count)| sum + *count)
--- a/src/gateway/decide/rollout/evidence.rs
+++ b/src/gateway/decide/rollout/evidence.rs
@@ -8,7 +8,7 @@
 
 use std::{collections::BTreeSet, fmt};
 
-use super::answers::{AnswerCount, AnswerCounts, RouteKey, Side};
+use super::answers::{AnswerCount, AnswerCounts, RouteKey, VersionGroup};
 
 /// Intervals that a roll-out's duration is divided into.
 pub const INTERVALS: u8 = 8;
@@ -32,7 +32,7 @@
 
 /// What keeps all traffic from moving to a new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Doubt {
+pub enum RolloutBlocker {
     /// The version is bad on this route.
     Bad(RouteKey),
     /// Routes with this share of all requests have too few answers yet.
@@ -41,7 +41,7 @@
     None,
 }
 
-impl fmt::Display for Doubt {
+impl fmt::Display for RolloutBlocker {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Bad(_) => write!(f, "bad on a route"),
@@ -92,13 +92,13 @@
 
     /// Returns what keeps all traffic from moving; `time_is_short` says whether less evidence is
     /// enough.
-    pub fn blocker(&self, time_is_short: bool) -> Doubt {
+    pub fn blocker(&self, time_is_short: bool) -> RolloutBlocker {
         let unproved =
             if time_is_short { self.unproved_share_short_time } else { self.unproved_share };
         match self.bad_route {
-            Some(route) => Doubt::Bad(route),
-            None if unproved > MAX_UNPROVED_SHARE => Doubt::TooFewAnswers(unproved),
-            None => Doubt::None,
+            Some(route) => RolloutBlocker::Bad(route),
+            None if unproved > MAX_UNPROVED_SHARE => RolloutBlocker::TooFewAnswers(unproved),
+            None => RolloutBlocker::None,
         }
     }
 }
@@ -119,12 +119,16 @@
 
 impl RouteIntervals {
     fn new(answers: &AnswerCounts, route: RouteKey) -> Self {
-        let since = |first, side| answers.since(first, route, side);
-        let in_interval = |interval, side| since(interval, side) - since(interval + 1, side);
-        let of_group = |side| (0..INTERVALS).map(|interval| in_interval(interval, side)).collect();
+        let since = |first, version_group| answers.since(first, route, version_group);
+        let in_interval = |interval, version_group| {
+            since(interval, version_group) - since(interval + 1, version_group)
+        };
+        let of_group = |version_group| {
+            (0..INTERVALS).map(|interval| in_interval(interval, version_group)).collect()
+        };
         let (new, earlier): (Vec<AnswerCount>, Vec<AnswerCount>) =
-            (of_group(Side::New), of_group(Side::Earlier));
-        let mean_bad_share = bad_share(since(0, Side::Earlier));
+            (of_group(VersionGroup::New), of_group(VersionGroup::Earlier));
+        let mean_bad_share = bad_share(since(0, VersionGroup::Earlier));
         let intervals = earlier.iter().map(|count| bad_share_drawn_towards(*count, mean_bad_share));
         let worst_bad_share = intervals.fold(mean_bad_share, f64::max);
         Self { new, earlier, mean_bad_share, worst_bad_share }
--- a/src/gateway/decide/rollout/mod.rs
+++ b/src/gateway/decide/rollout/mod.rs
@@ -14,10 +14,10 @@
 mod tracker;
 mod typical_times;
 
-pub use answers::{AnswerCount, AnswerRow, RouteKey, Side};
-pub use evidence::{Doubt, Findings};
+pub use answers::{AnswerCount, AnswerRow, RouteKey, VersionGroup};
+pub use evidence::{Findings, RolloutBlocker};
 pub use exposure::ExposureTerms;
 pub use order::{RolloutEnd, RolloutOrder, RolloutStage};
 pub use report::{RolloutReport, SentRow};
-pub use tracker::{Exposing, Member, RolloutBook, RolloutChange, RolloutView};
+pub use tracker::{ExposureContext, GatewayCounts, RolloutChange, RolloutTracker, RolloutView};
 pub use typical_times::TypicalTimes;
--- a/src/gateway/decide/rollout/tracker.rs
+++ b/src/gateway/decide/rollout/tracker.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 use super::{
-    AnswerRow, Doubt, ExposureTerms, Findings, RolloutEnd, RolloutOrder, RolloutReport,
-    RolloutStage, RouteKey, SentRow, Side, TypicalTimes,
+    AnswerRow, ExposureTerms, Findings, RolloutBlocker, RolloutEnd, RolloutOrder, RolloutReport,
+    RolloutStage, RouteKey, SentRow, TypicalTimes, VersionGroup,
     answers::AnswerCounts,
     evidence::INTERVALS,
     exposure::{Exposure, RouteWeights, trial_share},
@@ -17,14 +17,14 @@
 
 /// How many gateways there are and are heard. It limits what this one may send to a new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Member {
+pub struct GatewayCounts {
     /// Processes that are heard, this one included.
     pub heard: usize,
     /// Processes that may be serving requests.
     pub members: usize,
 }
 
-impl Member {
+impl GatewayCounts {
     /// Returns whether this process hears more than half of all processes, itself included, and so
     /// learns from them that a version is bad.
     fn hears_majority(self) -> bool {
@@ -111,7 +111,7 @@
     }
 
     /// Returns whether a request goes to the new version.
-    fn is_exposed(&self, route: RouteKey, cx: &Exposing) -> bool {
+    fn is_exposed(&self, route: RouteKey, cx: &ExposureContext) -> bool {
         if !cx.member.hears_majority() {
             return false;
         }
@@ -132,11 +132,11 @@
 
 /// What decides whether a request goes to a new version.
 #[derive(Clone, Copy, Debug)]
-pub struct Exposing {
+pub struct ExposureContext {
     /// Bound on the requests that a bad version may get.
     pub terms: ExposureTerms,
     /// How many gateways there are and are heard.
-    pub member: Member,
+    pub member: GatewayCounts,
     /// Time by the store's clock.
     pub now: StoreMillis,
     /// Drawn between 0 and 1 for this request.
@@ -155,7 +155,7 @@
     /// Requests among them that went to the new version.
     pub exposed: u32,
     /// What keeps all traffic from moving to the new version.
-    pub doubt: Doubt,
+    pub blocker: RolloutBlocker,
 }
 
 /// A change of a roll-out's stage.
@@ -169,17 +169,17 @@
 
 /// The newest roll-out of each service that this process knows of.
 #[derive(Clone, Debug, Default)]
-pub struct RolloutBook {
+pub struct RolloutTracker {
     rollouts: BTreeMap<ServiceName, Rollout>,
     /// Versions that were rolled back, by service.
     rejected: BTreeMap<ServiceName, BTreeSet<UpstreamVersion>>,
     typical: HashMap<ServiceName, TypicalTimes>,
 }
 
-impl RolloutBook {
+impl RolloutTracker {
     /// Adds an order; returns whether it is new here. `has_slack` says whether this process was
     /// running when the order was given, and `rounding` is drawn between 0 and 1.
-    pub fn take_order(&mut self, order: RolloutOrder, has_slack: bool, rounding: f64) -> bool {
+    pub fn add_order(&mut self, order: RolloutOrder, has_slack: bool, rounding: f64) -> bool {
         if let Some(known) = self.rollouts.get_mut(&order.service) {
             if known.order.revision == order.revision {
                 known.order.started = known.order.started.min(order.started);
@@ -210,14 +210,14 @@
     }
 
     /// Merges what another process reports of a roll-out.
-    pub fn hear(
+    pub fn merge_report(
         &mut self,
         process: &ProcessId,
         report: &RolloutReport,
         has_slack: bool,
         rounding: f64,
     ) {
-        self.take_order(report.order.clone(), has_slack, rounding);
+        self.add_order(report.order.clone(), has_slack, rounding);
         let Some(known) = self.rollouts.get_mut(&report.order.service) else {
             return;
         };
@@ -255,24 +255,29 @@
 
     /// Chooses the versions for a request to a service and counts it; returns `None` if there is no
     /// roll-out.
-    pub fn choose_side(&mut self, service: &str, route: RouteKey, cx: &Exposing) -> Option<Side> {
+    pub fn choose_version_group(
+        &mut self,
+        service: &str,
+        route: RouteKey,
+        cx: &ExposureContext,
+    ) -> Option<VersionGroup> {
         let rollout = self.rollouts.get_mut(service)?;
         let exposed = rollout.is_exposed(route, cx);
         if rollout.end.is_none() {
             rollout.own.note_sent(route, exposed);
             rollout.sum.note_sent(route, exposed);
         }
-        Some(if exposed { Side::New } else { Side::Earlier })
+        Some(if exposed { VersionGroup::New } else { VersionGroup::Earlier })
     }
 
     /// Returns the group of a version; `None` if it gets no requests any more, or if its service
     /// has no roll-out.
-    pub fn side_of(&self, service: &str, version: &str) -> Option<Side> {
+    pub fn version_group_of(&self, service: &str, version: &str) -> Option<VersionGroup> {
         let rollout = self.rollouts.get(service)?;
         match version == rollout.order.destination {
-            true => Some(Side::New),
+            true => Some(VersionGroup::New),
             false if self.is_rejected(service, version) => None,
-            false => Some(Side::Earlier),
+            false => Some(VersionGroup::Earlier),
         }
     }
 
@@ -302,20 +307,20 @@
         &mut self,
         service: &ServiceName,
         route: RouteKey,
-        side: Option<Side>,
+        version_group: Option<VersionGroup>,
         took: Option<f64>,
         now: StoreMillis,
     ) {
         let typical = self.typical.entry(service.clone()).or_default();
         let bad = took.is_none_or(|took| typical.is_slow(route, took));
-        if let Some(took) = took.filter(|_| side != Some(Side::New)) {
+        if let Some(took) = took.filter(|_| version_group != Some(VersionGroup::New)) {
             typical.add(route, took);
         }
         let rollout = self.rollouts.get_mut(service).filter(|r| r.end.is_none());
-        if let Some((rollout, side)) = rollout.zip(side) {
+        if let Some((rollout, version_group)) = rollout.zip(version_group) {
             let interval = rollout.order.interval(INTERVALS, now);
-            rollout.own.answers.note(interval, route, side, bad);
-            rollout.sum.answers.note(interval, route, side, bad);
+            rollout.own.answers.note(interval, route, version_group, bad);
+            rollout.sum.answers.note(interval, route, version_group, bad);
         }
     }
 
@@ -324,10 +329,10 @@
     pub fn roll_back(
         &mut self,
         now: StoreMillis,
-        has_earlier: impl Fn(&str) -> bool,
+        has_earlier_version: impl Fn(&str) -> bool,
     ) -> Vec<RolloutChange> {
         let mut changes = Vec::new();
-        let running = |r: &&mut Rollout| r.end.is_none() && has_earlier(&r.order.service);
+        let running = |r: &&mut Rollout| r.end.is_none() && has_earlier_version(&r.order.service);
         for rollout in self.rollouts.values_mut().filter(running) {
             let findings = rollout.findings();
             let bad = findings.bad_route.is_some();
@@ -352,7 +357,7 @@
             if !order.may_start_moving(now) || order.is_too_late(now) {
                 continue;
             }
-            if rollout.findings().blocker(order.is_time_short(now)) == Doubt::None {
+            if rollout.findings().blocker(order.is_time_short(now)) == RolloutBlocker::None {
                 rollout.moving_since = Some(now);
                 changes.push(RolloutChange { view: rollout.view(now), cause: "version_good" });
             }
@@ -379,7 +384,7 @@
             stage: self.stage(now),
             arrived,
             exposed,
-            doubt: self.findings().blocker(self.order.is_time_short(now)),
+            blocker: self.findings().blocker(self.order.is_time_short(now)),
         }
     }
 
--- a/src/gateway/decide/speed.rs
+++ b/src/gateway/decide/speed.rs
@@ -50,7 +50,7 @@
     pub per_running: f64,
     /// Average time for which a request holds a slot, in seconds. It is not part of the fit;
     /// see [`super::LoadMeter`].
-    pub held: f64,
+    pub slot_seconds: f64,
 }
 
 impl Default for EngineSpeed {
@@ -59,7 +59,7 @@
             base: DEFAULT_BASE,
             per_token: 1.0 / DEFAULT_TOKENS_PER_SECOND,
             per_running: DEFAULT_PER_RUNNING,
-            held: DEFAULT_SLOT_SECONDS,
+            slot_seconds: DEFAULT_SLOT_SECONDS,
         }
     }
 }
@@ -80,7 +80,7 @@
 
 /// Time to the first token of one request that found a free slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FirstToken {
+pub struct FirstTokenSample {
     /// Prompt tokens that the upstream had to read first, including the request's own.
     pub tokens: f64,
     /// Requests that were running when the request was sent.
@@ -125,7 +125,7 @@
             base,
             per_token: per_token / UNITS[1],
             per_running: per_running / UNITS[2],
-            held: DEFAULT_SLOT_SECONDS,
+            slot_seconds: DEFAULT_SLOT_SECONDS,
         }
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// Updates the fit with a request's time to the first token.
-    pub fn note_first_token(&mut self, sample: FirstToken) {
+    pub fn note_first_token(&mut self, sample: FirstTokenSample) {
         let inputs = [1.0, sample.tokens.max(0.0) / UNITS[1], sample.running.max(0.0) / UNITS[2]];
         let took = sample.took.as_secs_f64();
         let expected: f64 =
--- a/src/gateway/decide/store_stability.rs
+++ b/src/gateway/decide/store_stability.rs
@@ -12,11 +12,11 @@
 
 /// Period in which the store has answered without interruption.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Steadiness {
+pub struct StoreStability {
     streak: Option<(Instant, Instant)>,
 }
 
-impl Steadiness {
+impl StoreStability {
     /// Records whether the store answered a call.
     pub fn note(&mut self, answered: bool, now: Instant) {
         let unbroken = |last: Instant| now.saturating_duration_since(last) <= MAX_ANSWER_GAP;
--- a/src/gateway/decide/upstream_health.rs
+++ b/src/gateway/decide/upstream_health.rs
@@ -23,7 +23,7 @@
 
 /// Outcome of an attempt, as far as it bears on the upstream's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum AttemptOutcome {
     /// The upstream answered as expected.
     Good,
     /// The upstream answered with an error of its own, or the response broke off.
@@ -34,14 +34,14 @@
 
 /// Health of one upstream, as seen by this process.
 #[derive(Clone, Copy, Debug)]
-pub struct Breaker {
+pub struct UpstreamHealth {
     decayed_failures: f64,
     updated_at: Instant,
     consecutive_unreachable: u32,
     avoid_until: Option<Instant>,
 }
 
-impl Breaker {
+impl UpstreamHealth {
     /// Creates the health of an upstream that has not been tried yet.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -53,19 +53,19 @@
     }
 
     /// Records the outcome of an attempt.
-    pub fn record(&mut self, verdict: Verdict, now: Instant) {
+    pub fn record(&mut self, verdict: AttemptOutcome, now: Instant) {
         let recent = self.recent_failures(now);
         self.decayed_failures = match verdict {
-            Verdict::Good => recent * SUCCESS_FACTOR,
-            Verdict::Failed => (recent + 1.0).min(MAX_FAILURES),
-            Verdict::Unreachable => (recent + 3.0).min(MAX_FAILURES),
+            AttemptOutcome::Good => recent * SUCCESS_FACTOR,
+            AttemptOutcome::Failed => (recent + 1.0).min(MAX_FAILURES),
+            AttemptOutcome::Unreachable => (recent + 3.0).min(MAX_FAILURES),
         };
         self.updated_at = now;
         self.update_avoidance(verdict, now);
     }
 
-    fn update_avoidance(&mut self, verdict: Verdict, now: Instant) {
-        if verdict != Verdict::Unreachable {
+    fn update_avoidance(&mut self, verdict: AttemptOutcome, now: Instant) {
+        if verdict != AttemptOutcome::Unreachable {
             self.consecutive_unreachable = 0;
             self.avoid_until = None;
             return;
