--- a/src/gateway/decide/usage.rs
+++ b/src/gateway/decide/usage.rs
@@ -5,22 +5,22 @@
 use crate::gateway::model::CustomerName;
 
 /// Number of a window: window `k` begins `k` window lengths after the Unix epoch.
-pub type Window = u64;
+pub type WindowNumber = u64;
 /// Number of requests that began, by customer.
-pub type Counts = BTreeMap<CustomerName, u64>;
+pub type UsageCounts = BTreeMap<CustomerName, u64>;
 
 /// Number of windows that are kept. Windows are reported two window lengths after their end.
 const KEPT_WINDOWS: u64 = 8;
 
 /// Counts of all known processes, by window.
 #[derive(Debug, Default)]
-pub struct UsageBook {
-    windows: BTreeMap<Window, HashMap<String, Counts>>,
+pub struct UsageCounters {
+    windows: BTreeMap<WindowNumber, HashMap<String, UsageCounts>>,
 }
 
-impl UsageBook {
+impl UsageCounters {
     /// Counts a request of `customer` that began at this process, `own`.
-    pub fn count(&mut self, own: &str, window: Window, customer: &CustomerName) {
+    pub fn count(&mut self, own: &str, window: WindowNumber, customer: &CustomerName) {
         let process_counts =
             self.windows.entry(window).or_default().entry(own.to_owned()).or_default();
         *process_counts.entry(customer.clone()).or_default() += 1;
@@ -28,19 +28,19 @@
     }
 
     /// Records that `own` is counting in a window, even if no request begins in it.
-    pub fn open(&mut self, own: &str, window: Window) {
+    pub fn open_window(&mut self, own: &str, window: WindowNumber) {
         self.windows.entry(window).or_default().entry(own.to_owned()).or_default();
         self.drop_expired(window);
     }
 
     /// Returns the windows before `window` in which any process has counted.
-    pub fn counted_before(&self, window: Window) -> Vec<Window> {
+    pub fn windows_before(&self, window: WindowNumber) -> Vec<WindowNumber> {
         self.windows.range(..window).map(|(w, _)| *w).collect()
     }
 
     /// Merges counts that a process reports for itself. Counts only increase, so an outdated
     /// message changes nothing.
-    pub fn hear(&mut self, process: &str, window: Window, counts: &Counts) {
+    pub fn merge_counts(&mut self, process: &str, window: WindowNumber, counts: &UsageCounts) {
         let oldest = self.newest().saturating_sub(KEPT_WINDOWS);
         if window < oldest {
             return;
@@ -55,20 +55,23 @@
     }
 
     /// Returns the counts of `process` in the windows that are kept, newest first.
-    pub fn of_process(&self, process: &str) -> Vec<(Window, Counts)> {
+    pub fn process_windows(&self, process: &str) -> Vec<(WindowNumber, UsageCounts)> {
         let windows = self.windows.iter().rev();
         windows.filter_map(|(w, all)| Some((*w, all.get(process)?.clone()))).collect()
     }
 
     /// Returns the counts of each process in the newest `windows` windows.
-    pub fn of_all(&self, windows: usize) -> impl Iterator<Item = (Window, &str, &Counts)> {
+    pub fn of_all(
+        &self,
+        windows: usize,
+    ) -> impl Iterator<Item = (WindowNumber, &str, &UsageCounts)> {
         let newest = self.windows.iter().rev().take(windows);
         newest.flat_map(|(w, all)| all.iter().map(move |(p, counts)| (*w, p.as_str(), counts)))
     }
 
     /// Returns the sum of the counts of all processes.
-    pub fn total(&self, window: Window) -> Counts {
-        let mut total = Counts::new();
+    pub fn total(&self, window: WindowNumber) -> UsageCounts {
+        let mut total = UsageCounts::new();
         let processes = self.windows.get(&window).into_iter().flat_map(HashMap::values);
         for (customer, count) in processes.flatten() {
             *total.entry(customer.clone()).or_default() += count;
@@ -76,11 +79,11 @@
         total
     }
 
-    fn newest(&self) -> Window {
+    fn newest(&self) -> WindowNumber {
         self.windows.keys().next_back().copied().unwrap_or_default()
     }
 
-    fn drop_expired(&mut self, window: Window) {
+    fn drop_expired(&mut self, window: WindowNumber) {
         let oldest = self.newest().max(window).saturating_sub(KEPT_WINDOWS);
         self.windows = self.windows.split_off(&oldest);
     }
--- a/src/gateway/peering/crash_notice.rs
+++ b/src/gateway/peering/crash_notice.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::{ProcessId, WireError};
-use crate::gateway::decide::{CrashNews, VerdictReport};
+use crate::gateway::decide::{CrashGossip, VerdictReport};
 
 /// First byte of the datagram. Heartbeats use other values, so that a gateway of an earlier
 /// version still understands crash notices of this one.
@@ -25,7 +25,7 @@
     /// Whether the receiver alone may now run trials of quarantined requests.
     pub your_turn: bool,
     /// The reported evidence and verdicts.
-    pub news: CrashNews,
+    pub news: CrashGossip,
 }
 
 impl CrashNotice {
--- a/src/gateway/peering/datagram.rs
+++ b/src/gateway/peering/datagram.rs
@@ -1,20 +1,20 @@
 //! Datagrams between gateways, distinguished by their first byte.
 
 use super::{
-    CrashNotice, Heartbeat, LimitQuestion, PassedOn, WireError, crash_notice::CRASH_NOTICE_FORMAT,
-    heartbeat::decode_heartbeats, limit_share::LIMIT_FORMAT,
+    CrashNotice, Heartbeat, LimitShareMessage, RelayedHeartbeat, WireError,
+    crash_notice::CRASH_NOTICE_FORMAT, heartbeat::decode_heartbeats, limit_share::LIMIT_FORMAT,
 };
-use crate::gateway::decide::dealt;
+use crate::gateway::decide::relay_order;
 
 /// A decoded datagram from another gateway.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Datagram {
     /// The sender's heartheartbeat, and heartbeats of other gateways that it relays.
-    Heartbeats(Box<Heartbeat>, Vec<PassedOn>),
+    Heartbeats(Box<Heartbeat>, Vec<RelayedHeartbeat>),
     /// A report about requests that crash upstreams.
     Crashes(CrashNotice),
     /// A request for a share of a rate limit, or the answer to one.
-    Limit(LimitQuestion),
+    Limit(LimitShareMessage),
 }
 
 impl Datagram {
@@ -26,7 +26,7 @@
     pub fn decode(datagram: &[u8]) -> Result<Self, WireError> {
         match datagram.split_first() {
             Some((&CRASH_NOTICE_FORMAT, notice)) => CrashNotice::decode(notice).map(Self::Crashes),
-            Some((&LIMIT_FORMAT, message)) => LimitQuestion::decode(message).map(Self::Limit),
+            Some((&LIMIT_FORMAT, message)) => LimitShareMessage::decode(message).map(Self::Limit),
             _ => decode_heartbeats(datagram)
                 .map(|(heartbeat, relayed)| Self::Heartbeats(Box::new(heartbeat), relayed)),
         }
@@ -44,7 +44,7 @@
 ) -> impl Iterator<Item = Vec<u8>> {
     (0..receivers).map(move |receiver| {
         let mut datagram = heartbeat.to_vec();
-        for i in dealt(relayed.len(), receiver, receivers) {
+        for i in relay_order(relayed.len(), receiver, receivers) {
             if datagram.len() + relayed[i].len() <= max_bytes {
                 datagram.extend_from_slice(&relayed[i]);
             }
--- a/src/gateway/peering/heartbeat.rs
+++ b/src/gateway/peering/heartbeat.rs
@@ -10,8 +10,9 @@
     control::LeaseClaim,
     gateway::{
         decide::{
-            Counts, EngineSpeed, Knowledge, LeavingReport, LimitReport, OrderReport, Outcomes,
-            RequestCost, RolloutReport, ServiceLoad, SpeedModel, StoreMillis, Window,
+            EngineSpeed, LeavingReport, LimitReport, OrderReport, Outcomes, RequestCost,
+            RolloutReport, ServiceLoad, SpeedModel, StoreMillis, SyncPoint, UsageCounts,
+            WindowNumber,
         },
         model::{CustomerName, Lifetime, Revision, ServiceName},
         net::Phase,
@@ -99,13 +100,14 @@
     /// Creates the report of a service's load.
     pub fn new(service: &ServiceName, load: ServiceLoad) -> Self {
         let ServiceLoad { rate, cost } = load;
-        let (tokens, held) = (cost.tokens as f32, cost.held as f32);
+        let (tokens, held) = (cost.tokens as f32, cost.slot_seconds as f32);
         Self { service: service.clone(), request_rate: rate as f32, tokens, held }
     }
 
     /// Returns the reported load.
     pub fn load(&self) -> ServiceLoad {
-        let cost = RequestCost { tokens: f64::from(self.tokens), held: f64::from(self.held) };
+        let cost =
+            RequestCost { tokens: f64::from(self.tokens), slot_seconds: f64::from(self.held) };
         ServiceLoad { rate: f64::from(self.request_rate), cost }
     }
 }
@@ -156,7 +158,7 @@
     /// Version of its configuration; 0 if it has none.
     pub configuration: u64,
     /// Revision and time up to which it knows the configuration.
-    pub configuration_knowledge: Option<Knowledge>,
+    pub configuration_knowledge: Option<SyncPoint>,
     /// Its estimate of the present by the store's clock.
     pub store_now: Option<StoreMillis>,
     /// Revision of the newest change of an upstream that it knows.
@@ -186,7 +188,7 @@
     /// Tokens that it has admitted since its start, by customer.
     pub admitted: Vec<(CustomerName, i64)>,
     /// Counts of requests that began in the newest windows.
-    pub usage: Vec<(Window, Counts)>,
+    pub usage: Vec<(WindowNumber, UsageCounts)>,
     /// Load that its callers put on services.
     pub demand: Vec<Demand>,
     /// Speeds of upstreams that it has learnt.
@@ -220,14 +222,14 @@
 
 /// A heartbeat that was relayed by another gateway.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct PassedOn {
+pub struct RelayedHeartbeat {
     /// Milliseconds since it was sent, as estimated by the relaying gateway.
     pub age_ms: u64,
     /// The heartbeat, without the parts that only its direct receivers need.
     pub heartbeat: Heartbeat,
 }
 
-impl PassedOn {
+impl RelayedHeartbeat {
     /// Creates the relayed form of a heartbeat.
     pub fn new(heartbeat: &Heartbeat, age: Duration) -> Self {
         let heartbeat = Heartbeat {
@@ -256,7 +258,7 @@
 /// # Errors
 ///
 /// Fails if the datagram is not a heartbeat.
-pub fn decode_heartbeats(datagram: &[u8]) -> Result<(Heartbeat, Vec<PassedOn>), WireError> {
+pub fn decode_heartbeats(datagram: &[u8]) -> Result<(Heartbeat, Vec<RelayedHeartbeat>), WireError> {
     let Some((&HEARTBEAT_FORMAT, rest)) = datagram.split_first() else {
         return Err(WireError::Format(datagram.first().copied()));
     };
--- a/src/gateway/peering/limit_share.rs
+++ b/src/gateway/peering/limit_share.rs
@@ -12,7 +12,7 @@
 
 /// Asks for one request of another gateway's share of a rate limit, or answers that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LimitQuestion {
+pub enum LimitShareMessage {
     /// Asks whether the sender may send one request to the upstream.
     Ask {
         /// Request number, repeated in the answer.
@@ -29,7 +29,7 @@
     },
 }
 
-impl LimitQuestion {
+impl LimitShareMessage {
     /// Encodes the datagram, including its first byte.
     ///
     /// # Errors
--- a/src/gateway/peering/mod.rs
+++ b/src/gateway/peering/mod.rs
@@ -9,8 +9,8 @@
 pub use crash_notice::{CrashNotice, decode_verdicts, encode_verdicts};
 pub use datagram::{Datagram, datagrams};
 pub use heartbeat::{
-    Demand, Heartbeat, LoadReport, OutcomeReport, PassedOn, PrefixReport, ProcessId, SpeedReport,
-    WireError,
+    Demand, Heartbeat, LoadReport, OutcomeReport, PrefixReport, ProcessId, RelayedHeartbeat,
+    SpeedReport, WireError,
 };
-pub use limit_share::LimitQuestion;
+pub use limit_share::LimitShareMessage;
 pub use snapshot::{RecentChanges, UpstreamChange, UpstreamSnapshot};
--- a/src/gateway/peering/snapshot.rs
+++ b/src/gateway/peering/snapshot.rs
@@ -10,7 +10,7 @@
 use super::WireError;
 use crate::{
     gateway::{
-        decide::{Knowledge, Removal},
+        decide::{Removal, SyncPoint},
         model::{Revision, Upstream},
     },
     ids::UpstreamId,
@@ -22,7 +22,7 @@
     /// Revision after which changes are included; 0 if all upstreams are.
     pub after: Revision,
     /// Revision and time up to which the store's contents are included.
-    pub knowledge: Knowledge,
+    pub knowledge: SyncPoint,
     /// Revision of the newest known change.
     pub last_change: Revision,
     /// Descriptions of the upstreams.
@@ -89,7 +89,7 @@
     /// Revision after which the changes begin.
     pub after: Revision,
     /// Revision and time up to which the changes are complete.
-    pub knowledge: Knowledge,
+    pub knowledge: SyncPoint,
     /// The changes in order, each with its revision.
     pub changes: Vec<(Revision, UpstreamChange)>,
     /// When this process recorded each change.
@@ -103,7 +103,7 @@
 
 impl RecentChanges {
     /// Starts over from a complete list, without changes.
-    pub fn reset(&mut self, knowledge: Knowledge) {
+    pub fn reset(&mut self, knowledge: SyncPoint) {
         *self = Self { after: knowledge.position, knowledge, ..Self::default() };
     }
 
@@ -145,7 +145,7 @@
     }
 
     /// Records that there are no further changes up to `knowledge`.
-    pub fn advance(&mut self, knowledge: Knowledge) {
+    pub fn advance(&mut self, knowledge: SyncPoint) {
         self.knowledge.advance(knowledge);
     }
 }
--- a/src/gateway/request/admit.rs
+++ b/src/gateway/request/admit.rs
@@ -38,7 +38,7 @@
 /// Fails with the refusal that the caller gets.
 pub fn admit(gateway: &Gateway, head: &RequestHead, now: Instant) -> Result<Admitted, Refusal> {
     let mut board = gateway.board.borrow_mut();
-    if !board.knows_crashes(now) {
+    if !board.crash_verdicts_ready(now) {
         return Err(Refusal::NoConfiguration);
     }
     let configuration = board.configuration.clone().ok_or(Refusal::NoConfiguration)?;
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -107,7 +107,7 @@
     if !gateway.board.borrow().may_be_sent_to(id, lifetime, clock::now()) {
         return AttemptEnd::Unsent("upstream_left");
     }
-    if !gateway.board.borrow().rests.left(lifetime, clock::now()).is_zero() {
+    if !gateway.board.borrow().rests.remaining(lifetime, clock::now()).is_zero() {
         return AttemptEnd::Unsent("upstream_rests");
     }
     if !gateway.use_room(lifetime, room) {
--- a/src/gateway/request/crash.rs
+++ b/src/gateway/request/crash.rs
@@ -12,7 +12,7 @@
     clock,
     gateway::{
         context::Gateway,
-        decide::{Break, Permission, Verdict},
+        decide::{AttemptOutcome, InterruptedAttempt, Permission},
         model::{Lifetime, RequestDigest},
         net::{ConnectError, PoolError},
         telemetry::Event,
@@ -72,14 +72,14 @@
             return;
         }
         if let Some(view) = board.in_lifetime(upstream, lifetime) {
-            view.breaker.record(Verdict::Unreachable, now);
+            view.breaker.record(AttemptOutcome::Unreachable, now);
         }
         let under: Vec<String> = breaks.iter().map(|b| b.digest.to_string()).collect();
-        breaks.into_iter().for_each(|broken| board.crashes.note_end(broken, now));
+        breaks.into_iter().for_each(|broken| board.crashes.record_crash(broken, now));
         drop(guard);
         self.metrics.upstream_ends.inc();
         self.log(&Event::UpstreamEnded { upstream, under: &under });
-        self.tell(|c| call!([c.crashes], tell_now()));
+        self.send_to_controllers(|c| call!([c.crashes], send_now()));
     }
 
     /// Releases a request that is held for crashes of upstreams, as an operator wishes;
@@ -90,8 +90,8 @@
         let time = board.clock.unix_millis(now);
         let changes = board.crashes.release(digest, time, now);
         drop(board);
-        self.note_verdicts(&changes, "operator");
-        self.tell(|c| call!([c.crashes], tell_now()));
+        self.log_verdicts(&changes, "operator");
+        self.send_to_controllers(|c| call!([c.crashes], send_now()));
         !changes.is_empty()
     }
 }
@@ -100,7 +100,7 @@
     /// Notes that a run broke off, and finds out whether its upstream ended.
     pub(super) async fn broke_off(&self, selected: &Selected, cause: &'static str) {
         let (id, lifetime) = (&selected.id, selected.lifetime);
-        self.verdict(id, lifetime, Verdict::Failed);
+        self.verdict(id, lifetime, AttemptOutcome::Failed);
         let restarted = cause == STARTED_AGAIN;
         if !restarted && !self.serves(id, lifetime) {
             // It had announced to leave, and ended for that reason.
@@ -114,7 +114,7 @@
         } else {
             // It lives: these broke off for another reason. An upstream that spoils answers
             // and is started again later has not ended under them.
-            self.note_failure(selected.side);
+            self.note_failure(selected.version_group);
             // What ran there without an answer that reaches anybody is used all the same.
             self.count_usage(clock::now());
             gateway.board.borrow_mut().breaks.take(lifetime);
@@ -128,7 +128,7 @@
 
     fn note_break(&self, lifetime: Lifetime) {
         let customer = self.admitted.customer.clone().unwrap_or_default();
-        let broken = Break { digest: self.digest, customer, lifetime };
+        let broken = InterruptedAttempt { digest: self.digest, customer, lifetime };
         self.gateway.board.borrow_mut().breaks.note(broken, clock::now());
     }
 
@@ -138,10 +138,10 @@
         let now = clock::now();
         let mut board = self.gateway.board.borrow_mut();
         let time = board.clock.unix_millis(now);
-        board.crashes.note_alive(lifetime, now);
+        board.crashes.retract_crashes(lifetime, now);
         let changes = board.crashes.completed(self.digest, time, now);
         drop(board);
-        self.gateway.note_verdicts(&changes, "own");
+        self.gateway.log_verdicts(&changes, "own");
     }
 
     /// Returns whether the request may be sent now, apart from other suspects if true.
@@ -155,11 +155,11 @@
         let mut waits = 0;
         let refusal = loop {
             match self.permission() {
-                Permission::Free => return Ok(false),
-                Permission::Apart => return Ok(true),
-                Permission::Settles(at) if waits < MOST_WAITS => clock::sleep_until(at).await,
+                Permission::Unrestricted => return Ok(false),
+                Permission::Isolated => return Ok(true),
+                Permission::NotBefore(at) if waits < MOST_WAITS => clock::sleep_until(at).await,
                 Permission::Never => break Refusal::CrashesUpstreams,
-                Permission::Settles(_) | Permission::AfterCopy => break self.copy_runs(),
+                Permission::NotBefore(_) | Permission::AfterRunningCopy => break self.copy_runs(),
             }
             waits += 1;
         };
@@ -172,7 +172,7 @@
             request: &self.outgoing.head.id,
             digest: &self.digest.to_string(),
             customer: self.admitted.customer.as_deref().unwrap_or_default(),
-            ends: self.gateway.board.borrow().crashes.ends(self.digest).len(),
+            ends: self.gateway.board.borrow().crashes.crashes_under(self.digest).len(),
             state: refusal.cause(),
         });
     }
@@ -189,6 +189,6 @@
     fn copy_runs(&self) -> Refusal {
         let off = &self.gateway.settings.borrow().off;
         let speed = self.gateway.board.borrow().speed(&self.admitted.service, off);
-        Refusal::CopyRuns(Duration::from_secs_f64(speed.held))
+        Refusal::CopyRuns(Duration::from_secs_f64(speed.slot_seconds))
     }
 }
--- a/src/gateway/request/forward.rs
+++ b/src/gateway/request/forward.rs
@@ -26,7 +26,7 @@
     clock,
     gateway::{
         context::Gateway,
-        decide::{RetryTerms, RouteKey, Side, Verdict},
+        decide::{AttemptOutcome, RetryPolicy, RouteKey, VersionGroup},
         model::{Followed, RequestDigest, RequestKind},
         net::{AnswerBody, Lease, Phase, full_body},
         telemetry::Event,
@@ -67,7 +67,7 @@
     /// Whether it is counted in the customer's usage.
     pub(super) counted: Cell<bool>,
     /// Versions that the newest attempt went to.
-    side: Option<Side>,
+    version_group: Option<VersionGroup>,
     _in_progress: InProgress,
 }
 
@@ -123,7 +123,7 @@
         tried_at: arrived,
         runs: 0,
         counted: Cell::new(false),
-        side: None,
+        version_group: None,
         _in_progress: in_progress,
     };
     forwarding.count_request();
@@ -144,7 +144,7 @@
         Err(_) => {
             let not_run = forwarding.runs == 0;
             if !not_run {
-                forwarding.note_failure(forwarding.side);
+                forwarding.note_failure(forwarding.version_group);
             }
             forwarding.refused(if not_run { Refusal::TimeOverNotRun } else { Refusal::TimeOver })
         }
@@ -182,7 +182,7 @@
             };
             // Until the outcome is known it may have run.
             self.runs += 1;
-            self.side = selected.side;
+            self.version_group = selected.version_group;
             let end = attempt(
                 &self.gateway,
                 &self.outgoing,
@@ -205,7 +205,7 @@
                 AttemptEnd::NotExecuted(status) => {
                     self.runs -= 1;
                     if status == StatusCode::MISDIRECTED_REQUEST {
-                        self.verdict(&selected.id, selected.lifetime, Verdict::Unreachable);
+                        self.verdict(&selected.id, selected.lifetime, AttemptOutcome::Unreachable);
                     }
                     if !self.may_send_again(&selected.id, "not_executed") {
                         return Err(self.give_up());
@@ -251,13 +251,13 @@
         }
         self.count_usage(now);
         if parts.status.is_server_error() {
-            self.note_failure(selected.side);
-            self.verdict(&selected.id, selected.lifetime, Verdict::Failed);
+            self.note_failure(selected.version_group);
+            self.verdict(&selected.id, selected.lifetime, AttemptOutcome::Failed);
             if self.may_run_again(&selected.id, "upstream_failure") {
                 return Ok(None);
             }
         } else {
-            self.verdict(&selected.id, selected.lifetime, Verdict::Good);
+            self.verdict(&selected.id, selected.lifetime, AttemptOutcome::Good);
             self.note_answer(&selected, now);
             self.note_first_token(&selected, now);
             self.note_held(&selected, now);
@@ -277,9 +277,10 @@
             return None;
         }
         let now = clock::now();
-        let side = self.choose_side(now);
+        let version_group = self.choose_version_group(now);
         let prompt = self.outgoing.head.prompt.as_ref();
-        let wanted = Wanted { digest: self.digest, prompt, tried: &self.tried, side, apart };
+        let wanted =
+            Wanted { digest: self.digest, prompt, tried: &self.tried, version_group, apart };
         let selected = select(&self.gateway, &self.admitted, &wanted, now)?;
         self.tried.push(selected.id.clone());
         self.tried_at = now;
@@ -298,7 +299,7 @@
             missing_tokens: selected.candidate.missing_tokens,
             configuration: self.admitted.configuration.version,
             upstreams: selected.revision,
-            upstreams_age_ms: self.gateway.age_ms(Followed::Upstreams, now),
+            upstreams_age_ms: self.gateway.knowledge_age_ms(Followed::Upstreams, now),
             leaving: selected.leaving,
             row_missing: selected.row_missing,
         });
@@ -306,15 +307,15 @@
     }
 
     /// Chooses the versions that the next attempt goes to, while another one is rolled out.
-    fn choose_side(&self, now: Instant) -> Option<Side> {
+    fn choose_version_group(&self, now: Instant) -> Option<VersionGroup> {
         let exposure = self.gateway.settings.borrow().bounds.exposure;
         let (service, route) = (&self.admitted.service, RouteKey::new(&self.admitted.route.name));
         let mut board = self.gateway.board.borrow_mut();
         match self.tried.is_empty() {
-            true => board.choose_side(service, route, exposure, now),
+            true => board.choose_version_group(service, route, exposure, now),
             false => {
                 board.rollouts.order(service)?;
-                Some(board.side_again(service, exposure, now))
+                Some(board.version_group_for_retry(service, exposure, now))
             }
         }
     }
@@ -330,7 +331,7 @@
             return Refusal::Broken;
         }
         let board = self.gateway.board.borrow();
-        let wait = board.hold_off_of(&self.admitted.service, clock::now());
+        let wait = board.service_hold_off(&self.admitted.service, clock::now());
         wait.map_or(Refusal::NoRoom, Refusal::HeldOff)
     }
 
@@ -354,7 +355,7 @@
     /// Notes that nothing reached the upstream.
     pub(super) fn unsent(&mut self, selected: &Selected, cause: &'static str) {
         if cause == UNREACHABLE {
-            self.verdict(&selected.id, selected.lifetime, Verdict::Unreachable);
+            self.verdict(&selected.id, selected.lifetime, AttemptOutcome::Unreachable);
         }
         self.log_failed(&selected.id, cause, false, true);
     }
@@ -366,9 +367,9 @@
         board.retries.take(&self.admitted.service, terms, processes, clock::now())
     }
 
-    fn retry_terms(&self) -> RetryTerms {
+    fn retry_terms(&self) -> RetryPolicy {
         let bounds = self.gateway.settings.borrow().bounds;
-        RetryTerms {
+        RetryPolicy {
             ratio: bounds.retry_ratio,
             surplus: bounds.retry_surplus,
             window: bounds.retry_window,
--- a/src/gateway/request/grants.rs
+++ b/src/gateway/request/grants.rs
@@ -14,9 +14,9 @@
     clock,
     gateway::{
         context::Gateway,
-        decide::{GRANT_RETRY, HolderAnswer},
+        decide::{GRANT_RETRY_DELAY, GrantAnswer},
         model::Lifetime,
-        peering::LimitQuestion,
+        peering::LimitShareMessage,
     },
 };
 
@@ -60,7 +60,7 @@
         }
     }
 
-    fn send(&self, question: LimitQuestion, to: SocketAddr) {
+    fn send(&self, question: LimitShareMessage, to: SocketAddr) {
         let Some(socket) = self.socket.get() else {
             return;
         };
@@ -73,15 +73,15 @@
     }
 
     /// Asks a gateway for one request to an upstream; `None` if it does not answer in time.
-    async fn ask(&self, upstream: Lifetime, holder: SocketAddr) -> Option<HolderAnswer> {
+    async fn ask(&self, upstream: Lifetime, holder: SocketAddr) -> Option<GrantAnswer> {
         let number = self.last.get().wrapping_add(1);
         self.last.set(number);
         let (tx, rx) = oneshot::channel();
         self.asked.borrow_mut().insert(number, tx);
         let _pending = Pending { grants: self, number };
-        self.send(LimitQuestion::Ask { number, upstream }, holder);
+        self.send(LimitShareMessage::Ask { number, upstream }, holder);
         let wait = timeout(ANSWER_WITHIN, rx).await.ok()?.ok()?;
-        Some(wait.map_or(HolderAnswer::Granted, HolderAnswer::Denied))
+        Some(wait.map_or(GrantAnswer::Granted, GrantAnswer::Denied))
     }
 }
 
@@ -93,12 +93,12 @@
         if self.board.borrow().limits.wait(upstream, now) == Some(Duration::ZERO) {
             return Some(Room::Own);
         }
-        let (holder, address) = self.board.borrow().holder_to_ask(upstream, now)?;
+        let (holder, address) = self.board.borrow().peer_to_ask(upstream, now)?;
         let answer = self.grants.ask(upstream, address).await;
-        let answer = answer.unwrap_or(HolderAnswer::Denied(GRANT_RETRY));
+        let answer = answer.unwrap_or(GrantAnswer::Denied(GRANT_RETRY_DELAY));
         let mut board = self.board.borrow_mut();
         board.limits.note_answer(upstream, holder, answer, clock::now());
-        (answer == HolderAnswer::Granted).then_some(Room::Granted)
+        (answer == GrantAnswer::Granted).then_some(Room::Granted)
     }
 
     /// Takes a request from the room that was found for it; `false` if it is gone.
@@ -110,14 +110,14 @@
     }
 
     /// Takes over a question of another gateway, or its answer to one of this gateway's.
-    pub fn hear_limit_question(&self, question: LimitQuestion, from: SocketAddr) {
+    pub fn hear_limit_question(&self, question: LimitShareMessage, from: SocketAddr) {
         match question {
-            LimitQuestion::Ask { number, upstream } => {
+            LimitShareMessage::Ask { number, upstream } => {
                 let now = clock::now();
                 let wait = self.board.borrow_mut().limits.grant(upstream, now).err();
-                self.grants.send(LimitQuestion::Answer { number, wait }, from);
+                self.grants.send(LimitShareMessage::Answer { number, wait }, from);
             }
-            LimitQuestion::Answer { number, wait } => {
+            LimitShareMessage::Answer { number, wait } => {
                 // It may come too late: nobody waits for it any more.
                 if let Some(tx) = self.grants.asked.borrow_mut().remove(&number)
                     && tx.send(wait).is_err()
--- a/src/gateway/request/in_flight.rs
+++ b/src/gateway/request/in_flight.rs
@@ -63,9 +63,9 @@
             view.own.running += 1;
             view.own.pending_tokens += pending_tokens;
         }
-        let newest = board.follow_lifetime(upstream);
+        let newest = board.subscribe_lifetime(upstream);
         let time = board.clock.unix_millis(now);
-        let matters = board.crashes.begin(digest, lifetime, time, now);
+        let matters = board.crashes.copy_started(digest, lifetime, time, now);
         drop(board);
         let in_flight = Self {
             gateway: gateway.clone(),
@@ -82,7 +82,7 @@
     /// Tells the other gateways of a suspect's copy that began or ended.
     fn tell_if(&self, matters: bool) {
         if matters {
-            self.gateway.tell(|c| call!([c.crashes], tell_now()));
+            self.gateway.send_to_controllers(|c| call!([c.crashes], send_now()));
         }
     }
 
@@ -118,7 +118,7 @@
         if let Some(view) = board.in_lifetime(&self.upstream, self.lifetime) {
             view.own.running = view.own.running.saturating_sub(1);
         }
-        let matters = board.crashes.end(self.digest, self.lifetime);
+        let matters = board.crashes.copy_ended(self.digest, self.lifetime);
         drop(board);
         self.tell_if(matters);
     }
--- a/src/gateway/request/operators.rs
+++ b/src/gateway/request/operators.rs
@@ -50,7 +50,7 @@
             customer: verdict.customer,
             at_ms: verdict.at_ms,
             trials: verdict.trials,
-            ends: board.crashes.ends(digest).len(),
+            ends: board.crashes.crashes_under(digest).len(),
         })
         .collect();
     match serde_json::to_vec(&list) {
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -20,7 +20,7 @@
 use crate::{
     clock,
     gateway::{
-        decide::Verdict,
+        decide::AttemptOutcome,
         net::{AnswerBody, BodyError, Lease, channel_body},
     },
     platform,
@@ -87,7 +87,7 @@
             let (id, lifetime) = (run.selected.id.clone(), run.selected.lifetime);
             match end {
                 RunEnd::Complete => {
-                    self.forwarding.verdict(&id, lifetime, Verdict::Good);
+                    self.forwarding.verdict(&id, lifetime, AttemptOutcome::Good);
                     self.forwarding.ran_to_good_end(lifetime);
                     self.forwarding.note_held(&run.selected, clock::now());
                     if !run.closes {
--- a/src/gateway/request/report.rs
+++ b/src/gateway/request/report.rs
@@ -9,7 +9,7 @@
     clock,
     gateway::{
         context::Gateway,
-        decide::{FirstToken, RouteKey, Side, Verdict},
+        decide::{AttemptOutcome, FirstTokenSample, RouteKey, VersionGroup},
         model::{Followed, Lifetime, RequestKind},
         net::AnswerBody,
         telemetry::{Event, RequestLabels},
@@ -40,7 +40,7 @@
         took_ms,
         first_ms: took_ms,
         configuration: gateway.board.borrow().configuration_version(),
-        configuration_age_ms: gateway.age_ms(Followed::Configuration, clock::now()),
+        configuration_age_ms: gateway.knowledge_age_ms(Followed::Configuration, clock::now()),
     });
     let class = admitted.map_or_else(|| "unknown".to_owned(), class);
     let labels = RequestLabels { class, outcome: refusal.cause().to_owned() };
@@ -80,13 +80,13 @@
     }
 
     /// Notes how an upstream did in one lifetime. It says nothing of a later one.
-    pub fn verdict(&self, upstream: &UpstreamId, lifetime: Lifetime, verdict: Verdict) {
+    pub fn verdict(&self, upstream: &UpstreamId, lifetime: Lifetime, verdict: AttemptOutcome) {
         let mut board = self.gateway.board.borrow_mut();
         if let Some(view) = board.in_lifetime(upstream, lifetime) {
             let now = clock::now();
             view.breaker.record(verdict, now);
-            if verdict != Verdict::Unreachable {
-                view.outcomes.note(verdict == Verdict::Failed, now);
+            if verdict != AttemptOutcome::Unreachable {
+                view.outcomes.note(verdict == AttemptOutcome::Failed, now);
             }
         }
     }
@@ -98,19 +98,19 @@
             Some(_) => selected.predicted.as_secs_f64().max(LEAST_EXPECTED),
             None => 1.0,
         };
-        self.note_outcome(selected.side, Some(took / expected));
+        self.note_outcome(selected.version_group, Some(took / expected));
     }
 
     /// Notes that a request failed, for a roll-out of another version.
-    pub(super) fn note_failure(&self, side: Option<Side>) {
-        self.note_outcome(side, None);
+    pub(super) fn note_failure(&self, version_group: Option<VersionGroup>) {
+        self.note_outcome(version_group, None);
     }
 
-    fn note_outcome(&self, side: Option<Side>, took: Option<f64>) {
+    fn note_outcome(&self, version_group: Option<VersionGroup>, took: Option<f64>) {
         let route = RouteKey::new(&self.admitted.route.name);
         let mut board = self.gateway.board.borrow_mut();
         let time = board.store_time(clock::now());
-        board.rollouts.note_answer(&self.admitted.service, route, side, took, time);
+        board.rollouts.note_answer(&self.admitted.service, route, version_group, took, time);
     }
 
     /// Learns from a first token how fast the service is.
@@ -123,7 +123,7 @@
         let mut board = self.gateway.board.borrow_mut();
         if c.running < f64::from(c.slots) {
             let tokens = c.pending_tokens + c.missing_tokens;
-            let seen = FirstToken { tokens, running: c.running, took };
+            let seen = FirstTokenSample { tokens, running: c.running, took };
             board.speed_model(&self.admitted.service).note_first_token(seen);
         }
     }
@@ -134,8 +134,8 @@
         let exposure = self.gateway.settings.borrow().bounds.exposure;
         let board = self.gateway.board.borrow();
         let (service, now) = (&self.admitted.service, clock::now());
-        selected.side == Some(Side::New)
-            && board.side_again(service, exposure, now) == Side::Earlier
+        selected.version_group == Some(VersionGroup::New)
+            && board.version_group_for_retry(service, exposure, now) == VersionGroup::Earlier
     }
 
     /// Learns for how long a request held its slot.
@@ -170,7 +170,9 @@
             took_ms,
             first_ms: to_first.map_or(took_ms, |t| t.as_millis() as u64),
             configuration: self.admitted.configuration.version,
-            configuration_age_ms: self.gateway.age_ms(Followed::Configuration, clock::now()),
+            configuration_age_ms: self
+                .gateway
+                .knowledge_age_ms(Followed::Configuration, clock::now()),
         });
         let class = class(&self.admitted);
         if let Some(time) = to_first {
--- a/src/gateway/request/select.rs
+++ b/src/gateway/request/select.rs
@@ -12,8 +12,8 @@
         board::{Board, UpstreamView},
         context::Gateway,
         decide::{
-            Candidate, EngineSpeed, Mechanism, Side, SwitchedOff, choose_engine, least_to_lose,
-            predicted_wait,
+            Candidate, DisabledMechanisms, EngineSpeed, Mechanism, VersionGroup, choose_engine,
+            choose_fewest_running, predicted_wait,
         },
         model::{Lifetime, RequestDigest},
         peering::PrefixReport,
@@ -59,7 +59,7 @@
     /// Whether its row is missing.
     pub row_missing: bool,
     /// Versions that it belongs to, while another one is rolled out.
-    pub side: Option<Side>,
+    pub version_group: Option<VersionGroup>,
 }
 
 /// The shared part of a prompt: what other requests are about, too.
@@ -86,7 +86,7 @@
     /// Upstreams that it was sent to, which are passed over.
     pub tried: &'a [UpstreamId],
     /// Versions that it goes to, while another one is rolled out.
-    pub side: Option<Side>,
+    pub version_group: Option<VersionGroup>,
     /// Whether upstreams ended under it, so that it runs apart from other suspects and
     /// where the least is lost.
     pub apart: bool,
@@ -110,7 +110,7 @@
     let (address, revision) = (view.upstream.address, board.upstreams_position());
     let (lifetime, leaving) = (view.lifetime, !view.takes_work());
     let row_missing = view.missing.is_some();
-    let side = board.rollouts.side_of(&admitted.service, &view.upstream.version);
+    let version_group = board.rollouts.version_group_of(&admitted.service, &view.upstream.version);
     let missing = candidate.missing_tokens as u32;
     if let Some(shared) = shared {
         let capacity = engine_cache(admitted);
@@ -141,7 +141,7 @@
         revision,
         leaving,
         row_missing,
-        side,
+        version_group,
     })
 }
 
@@ -180,25 +180,27 @@
     };
     let board = gateway.board.borrow();
     let exposure = gateway.settings.borrow().bounds.exposure;
-    let mut open = board.open_to(&admitted.service, wanted.side, exposure, now);
+    let mut open =
+        board.upstreams_for_version_group(&admitted.service, wanted.version_group, exposure, now);
     open.retain(|v| !wanted.tried.contains(&v.upstream.id));
     let open = with_room(&board, open, now);
     let views = in_service(open, &off, now);
     let views = without_risk(&board, views, wanted.apart);
-    let shared = shared.filter(|_| off.is_on(Mechanism::KnownCaches));
-    let home =
-        shared.filter(|_| off.is_on(Mechanism::PrefixHome)).and_then(|s| home(&board, &views, s));
+    let shared = shared.filter(|_| off.is_enabled(Mechanism::KnownCaches));
+    let home = shared
+        .filter(|_| off.is_enabled(Mechanism::PrefixHome))
+        .and_then(|s| home(&board, &views, s));
     // A failure costs a caller its objective, or the time of another attempt if that is longer.
     let objective = admitted.route.objective.as_secs_f64();
-    let failure_weight = (objective / speed.held.max(f64::EPSILON)).max(1.0);
+    let failure_weight = (objective / speed.slot_seconds.max(f64::EPSILON)).max(1.0);
     let candidates: Vec<Candidate> = views
         .iter()
         .map(|view| {
             let at_home = home.is_some_and(|id| *id == view.upstream.id);
             let missing = missing_tokens(&board, view, wanted.prompt, shared, at_home);
             let candidate = board.candidate(view, missing, &own, now, fastrand::f64());
-            let own = if off.is_on(Mechanism::Failures) { candidate.failures } else { 0.0 };
-            let all = match off.is_on(Mechanism::SharedOutcomes) {
+            let own = if off.is_enabled(Mechanism::Failures) { candidate.failures } else { 0.0 };
+            let all = match off.is_enabled(Mechanism::SharedOutcomes) {
                 true => board.expected_failures(view, now),
                 false => 0.0,
             };
@@ -208,7 +210,7 @@
         })
         .collect();
     let best = match wanted.apart {
-        true => least_to_lose(&candidates, speed)?,
+        true => choose_fewest_running(&candidates, speed)?,
         false => choose_engine(&candidates, speed)?,
     };
     let holds =
@@ -231,7 +233,7 @@
     let takes_now = |v: &&UpstreamView| board.hold_off(v.lifetime, now) == Some(Duration::ZERO);
     let (mut room, held_off): (Vec<_>, Vec<_>) = open.into_iter().partition(takes_now);
     if !room.iter().any(|v| v.takes_work()) {
-        room.extend(held_off.into_iter().filter(|v| board.may_ask(v.lifetime, now)));
+        room.extend(held_off.into_iter().filter(|v| board.may_ask_peer(v.lifetime, now)));
     }
     room
 }
@@ -241,7 +243,7 @@
 /// if there are none at all.
 fn in_service<'a>(
     open: Vec<&'a UpstreamView>,
-    off: &SwitchedOff,
+    off: &DisabledMechanisms,
     now: Instant,
 ) -> Vec<&'a UpstreamView> {
     let (serving, leaving): (Vec<_>, Vec<_>) = open.into_iter().partition(|v| v.takes_work());
@@ -249,7 +251,7 @@
         return leaving.into_iter().filter(|v| v.is_last_resort(now)).collect();
     }
     let is_avoided =
-        |v: &&UpstreamView| off.is_on(Mechanism::Avoidance) && v.breaker.is_avoided(now);
+        |v: &&UpstreamView| off.is_enabled(Mechanism::Avoidance) && v.breaker.is_avoided(now);
     let (avoided, reached): (Vec<_>, Vec<_>) = serving.into_iter().partition(is_avoided);
     if reached.is_empty() { avoided } else { reached }
 }
@@ -262,12 +264,12 @@
     views: Vec<&'a UpstreamView>,
     apart: bool,
 ) -> Vec<&'a UpstreamView> {
-    let risked = board.crashes.risked(apart);
-    if risked.is_empty() {
+    let upstreams_at_risk = board.crashes.upstreams_at_risk(apart);
+    if upstreams_at_risk.is_empty() {
         return views;
     }
     let (at_risk, safe): (Vec<_>, Vec<_>) =
-        views.into_iter().partition(|v| risked.contains(&v.lifetime));
+        views.into_iter().partition(|v| upstreams_at_risk.contains(&v.lifetime));
     if safe.is_empty() { at_risk } else { safe }
 }
 
--- a/src/gateway/request/signals.rs
+++ b/src/gateway/request/signals.rs
@@ -5,7 +5,7 @@
 use super::{attempt::Outgoing, select::Selected};
 use crate::{
     clock,
-    gateway::{context::Gateway, decide::LimitNotice, telemetry::Event},
+    gateway::{context::Gateway, decide::LimitAnnouncement, telemetry::Event},
     platform::{self, SignalError},
 };
 
@@ -27,7 +27,7 @@
         let now = clock::now();
         let is_new = gateway.board.borrow_mut().note_leaving(selected.lifetime, now, now);
         if is_new {
-            gateway.log_leaving(selected.lifetime, request);
+            gateway.log_upstream_leaving(selected.lifetime, request);
         }
     }
     let rested = note_rest(gateway, request, selected, status, headers);
@@ -50,7 +50,7 @@
     let Some(rest) = platform::decode_rest(status, headers, time)? else {
         return Ok(());
     };
-    if gateway.board.borrow_mut().rests.learn(selected.lifetime, rest, now) {
+    if gateway.board.borrow_mut().rests.extend_cooldown(selected.lifetime, rest, now) {
         let for_ms = rest.as_millis() as u64;
         gateway.log(&Event::Rest { upstream: &selected.id, for_ms, request });
     }
@@ -72,11 +72,11 @@
     let mut board = gateway.board.borrow_mut();
     // The upstream may have answered as early as the request went out, before a limit began.
     let at = board.store_time(if rate.is_some() { now } else { selected.at });
-    let notice = LimitNotice { rate, at };
+    let notice = LimitAnnouncement { rate, at };
     let changed = board.limits.learn(selected.lifetime, notice, now);
     drop(board);
     if changed {
-        gateway.log_limit(selected.lifetime, notice, request);
+        gateway.log_rate_limit(selected.lifetime, notice, request);
     }
     Ok(())
 }
--- a/src/gateway/request/status.rs
+++ b/src/gateway/request/status.rs
@@ -119,11 +119,11 @@
         phase: gateway.shutdown.phase(),
         ready,
         configuration: board.configuration_version(),
-        configuration_age_ms: gateway.age_ms(Followed::Configuration, now),
+        configuration_age_ms: gateway.knowledge_age_ms(Followed::Configuration, now),
         upstreams: board.upstreams.values().filter(|v| v.takes_work()).count(),
         upstreams_position: board.upstreams_position(),
-        upstreams_age_ms: gateway.age_ms(Followed::Upstreams, now),
-        store_answers: !matches!(board.store, StoreState::Away(_)),
+        upstreams_age_ms: gateway.knowledge_age_ms(Followed::Upstreams, now),
+        store_answers: !matches!(board.store, StoreState::OutageSince(_)),
         lease_fence: board.lease.may_act(now).unwrap_or_default(),
         in_progress: board.in_progress,
         quarantined: board.crashes.quarantined(),
@@ -136,8 +136,8 @@
 /// Returns what an upstream asks for, if it asks for anything.
 fn signals(board: &Board, view: &UpstreamView, now: Instant) -> Option<SignalStatus> {
     let limit = board.limits.rate(view.lifetime);
-    let rest_ms = board.rests.left(view.lifetime, now).as_millis() as u64;
-    let leaving = view.said_leaving.is_some();
+    let rest_ms = board.rests.remaining(view.lifetime, now).as_millis() as u64;
+    let leaving = view.announced_leaving_since.is_some();
     let upstream = view.upstream.id.clone();
     let asks = limit.is_some() || rest_ms > 0 || leaving;
     asks.then_some(SignalStatus { upstream, limit, rest_ms, leaving })
@@ -151,7 +151,7 @@
         share: board.rollouts.share(&view.order.service, exposure, time),
         arrived: view.arrived,
         exposed: view.exposed,
-        doubt: view.doubt.to_string(),
+        doubt: view.blocker.to_string(),
         age_ms: time.saturating_sub(view.order.started),
         duration_ms: view.order.duration.as_millis() as u64,
         service: view.order.service,
@@ -161,7 +161,7 @@
 }
 
 fn other(process: &str, peer: &PeerView, silence: Duration, now: Instant) -> OtherStatus {
-    let heard = now.saturating_duration_since(peer.heard);
+    let heard = now.saturating_duration_since(peer.last_heard);
     OtherStatus {
         process: process.to_owned(),
         phase: peer.last.phase,
--- a/src/settings/gateway.rs
+++ b/src/settings/gateway.rs
@@ -10,7 +10,7 @@
 
 use super::{Section, SettingsError, entry::LEVELS, load};
 use crate::{
-    gateway::decide::{CapacityPolicy, ExposureTerms, Mechanism, QuotaTerms, SwitchedOff},
+    gateway::decide::{CapacityPolicy, DisabledMechanisms, ExposureTerms, Mechanism, QuotaPolicy},
     ids::DataCentre,
 };
 
@@ -46,7 +46,7 @@
     /// Length of the window in which second attempts are counted.
     pub retry_window: Duration,
     /// How the operator counts quotas.
-    pub quotas: QuotaTerms,
+    pub quotas: QuotaPolicy,
     /// Length of a window of the usage report.
     pub usage_window: Duration,
     /// Time in which two holders may not act in turns.
@@ -91,7 +91,7 @@
     /// How many engines are kept for the load.
     pub capacity: CapacitySettings,
     /// Mechanisms that are switched off, for measurements.
-    pub off: SwitchedOff,
+    pub off: DisabledMechanisms,
 }
 
 impl GatewaySettings {
@@ -118,7 +118,7 @@
             api,
             bounds: s.section("bounds", bounds),
             capacity: s.section("capacity", capacity),
-            off: SwitchedOff::new(s.some_of("off", &Mechanism::NAMES)),
+            off: DisabledMechanisms::new(s.some_of("off", &Mechanism::NAMES)),
         }
     }
 }
@@ -141,7 +141,7 @@
         retry_ratio: s.number("retry_ratio", 0.2),
         retry_surplus: s.number("retry_surplus", 58.0),
         retry_window: s.seconds("retry_window_s", secs(10)),
-        quotas: QuotaTerms {
+        quotas: QuotaPolicy {
             window: s.seconds("quota_window_s", secs(8)),
             extra: s.number("quota_slack", 0.0) * QUOTA_SLACK_USED,
         },
--- a/tests/gateway_capacity.rs
+++ b/tests/gateway_capacity.rs
@@ -204,7 +204,8 @@
     let start = Instant::now();
     let mut meter = NeedMeter::new(ms(4_000));
     let needs = [12.0, 8.0, 6.0, 6.0, 6.0].iter().zip([0, 3_000, 6_000, 15_000, 22_000]);
-    let kept: Vec<Need> = needs.map(|(need, at)| meter.note(*need, start + ms(at))).collect();
+    let kept: Vec<Need> =
+        needs.map(|(need, at)| meter.record_need(*need, start + ms(at))).collect();
     let engines: Vec<f64> = kept.iter().map(|n| n.engines).collect();
     let reclaimable: Vec<f64> = kept.iter().map(|n| n.reclaimable).collect();
     assert_eq!(engines, [12.0, 12.0, 8.0, 6.0, 6.0]);
--- a/tests/gateway_choice.rs
+++ b/tests/gateway_choice.rs
@@ -4,15 +4,16 @@
 
 use proptest::prelude::*;
 use tackhollow::gateway::{
-    board::{Described, UpstreamView},
+    board::{DescriptionChange, UpstreamView},
     decide::{
-        Breaker, CacheBelief, Candidate, EngineSpeed, Verdict, choose_engine, predicted_wait,
+        AttemptOutcome, Candidate, EngineSpeed, PrefixCacheEstimate, UpstreamHealth, choose_engine,
+        predicted_wait,
     },
     model::{Lifetime, Upstream, UpstreamPhase},
 };
 
 const SPEED: EngineSpeed =
-    EngineSpeed { base: 0.02, per_token: 1.0 / 50_000.0, per_running: 0.002, held: 1.9 };
+    EngineSpeed { base: 0.02, per_token: 1.0 / 50_000.0, per_running: 0.002, slot_seconds: 1.9 };
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -26,7 +27,7 @@
     failures: 0.0,
     remote: false,
     connected: false,
-    chance: 0.0,
+    jitter_sample: 0.0,
 };
 
 /// A failure costs as much as the slot time of a request of the service, and not a fixed time.
@@ -48,7 +49,7 @@
     let failing = Candidate { failures: 0.5, ..IDLE };
     let busy = Candidate { running: 50.0, ..IDLE };
     for case in cases {
-        let speed = EngineSpeed { held: case.held, ..SPEED };
+        let speed = EngineSpeed { slot_seconds: case.held, ..SPEED };
         assert_eq!(choose_engine(&[failing, busy], speed), Some(case.best), "{}", case.name);
     }
 }
@@ -64,7 +65,7 @@
         Case { name: "no candidates", candidates: vec![], best: None },
         Case {
             name: "an idle connection decides between equal upstreams",
-            candidates: vec![IDLE, Candidate { connected: true, chance: 1.0, ..IDLE }],
+            candidates: vec![IDLE, Candidate { connected: true, jitter_sample: 1.0, ..IDLE }],
             best: Some(1),
         },
         Case {
@@ -153,15 +154,15 @@
 #[test]
 fn failures_decay_with_time_and_with_successes() {
     let now = Instant::now();
-    let mut breaker = Breaker::new(now);
-    (0..50).for_each(|_| breaker.record(Verdict::Failed, now));
+    let mut breaker = UpstreamHealth::new(now);
+    (0..50).for_each(|_| breaker.record(AttemptOutcome::Failed, now));
     let many = breaker.recent_failures(now);
     assert!(
         many <= 8.0,
         "the failure count is bounded, so that a recovered upstream is tried again: {many}"
     );
     assert!(breaker.recent_failures(now + ms(8_000)) < many / 10.0);
-    (0..12).for_each(|_| breaker.record(Verdict::Good, now));
+    (0..12).for_each(|_| breaker.record(AttemptOutcome::Good, now));
     assert!(breaker.recent_failures(now) < 0.5);
 }
 
@@ -170,16 +171,16 @@
     struct Case {
         name: &'static str,
         /// Times of the attempts and their outcomes.
-        attempts: Vec<(u64, Verdict)>,
+        attempts: Vec<(u64, AttemptOutcome)>,
         at: u64,
         avoided: bool,
     }
-    let unreachable = Verdict::Unreachable;
+    let unreachable = AttemptOutcome::Unreachable;
     let cases = [
         Case { name: "not tried", attempts: vec![], at: 0, avoided: false },
         Case {
             name: "attempt failed",
-            attempts: vec![(0, Verdict::Failed)],
+            attempts: vec![(0, AttemptOutcome::Failed)],
             at: 1,
             avoided: false,
         },
@@ -204,14 +205,14 @@
         },
         Case {
             name: "reached in the meantime",
-            attempts: vec![(0, unreachable), (100, Verdict::Good)],
+            attempts: vec![(0, unreachable), (100, AttemptOutcome::Good)],
             at: 101,
             avoided: false,
         },
     ];
     for case in cases {
         let now = Instant::now();
-        let mut breaker = Breaker::new(now);
+        let mut breaker = UpstreamHealth::new(now);
         case.attempts.iter().for_each(|(at, verdict)| breaker.record(*verdict, now + ms(*at)));
         assert_eq!(breaker.is_avoided(now + ms(case.at)), case.avoided, "{}", case.name);
     }
@@ -220,7 +221,7 @@
 #[test]
 fn the_least_recently_used_prefix_is_evicted() {
     let now = Instant::now();
-    let mut cache = CacheBelief::default();
+    let mut cache = PrefixCacheEstimate::default();
     let engine = Lifetime::new("engine-1", Some(1));
     for (i, prefix) in [1u64, 2, 1, 3].into_iter().enumerate() {
         cache.note(engine, prefix, 300, 1_000, now + ms(i as u64));
@@ -250,9 +251,9 @@
     let mut view = UpstreamView::new(upstream(UpstreamPhase::Ready), now);
     assert!(view.takes_work() && !view.is_last_resort(now));
     let changed = view.update(upstream(UpstreamPhase::Draining), now + ms(100), now + ms(100));
-    assert_eq!(changed, Described::PhaseChanged);
+    assert_eq!(changed, DescriptionChange::PhaseChanged);
     let again = view.update(upstream(UpstreamPhase::Draining), now + ms(900), now + ms(900));
-    assert_eq!(again, Described::Same, "the same phase reported again");
+    assert_eq!(again, DescriptionChange::Same, "the same phase reported again");
     assert!(!view.takes_work() && view.is_last_resort(now + ms(1_000)));
     assert!(!view.is_last_resort(now + ms(1_200)), "it may end soon");
     let known_late = UpstreamView::new(upstream(UpstreamPhase::Draining), now);
--- a/tests/gateway_crash_book.rs
+++ b/tests/gateway_crash_book.rs
@@ -5,7 +5,9 @@
 use std::time::{Duration, Instant};
 
 use support::crashes::{HOUR_MS, SETTLED, TIME, crash, request, upstream};
-use tackhollow::gateway::decide::{Break, CopyReport, CrashBook, CrashNews, Permission, TrialTurn};
+use tackhollow::gateway::decide::{
+    CopyReport, CrashGossip, CrashTracker, InterruptedAttempt, Permission, TrialTurn,
+};
 
 #[test]
 fn a_request_that_explains_the_crashes_is_never_sent_again() {
@@ -16,48 +18,48 @@
         /// Permissions of requests 1, 2 and 3 afterwards.
         then: [Permission; 3],
     }
-    use Permission::{Apart, Free, Never};
+    use Permission::{Isolated, Never, Unrestricted};
     let cases = [
-        Case { name: "no crash", crashes: &[], then: [Free; 3] },
-        Case { name: "an ordinary crash", crashes: &[&[1, 2, 3]], then: [Free; 3] },
+        Case { name: "no crash", crashes: &[], then: [Unrestricted; 3] },
+        Case { name: "an ordinary crash", crashes: &[&[1, 2, 3]], then: [Unrestricted; 3] },
         Case {
             name: "the same request at a second crash",
             crashes: &[&[1, 2], &[1, 3]],
-            then: [Apart, Free, Free],
+            then: [Isolated, Unrestricted, Unrestricted],
         },
         Case {
             name: "the same request at a third crash",
             crashes: &[&[1, 2], &[1, 3], &[1]],
-            then: [Never, Free, Free],
+            then: [Never, Unrestricted, Unrestricted],
         },
         Case {
             name: "a request that was retried beside the culprit twice",
             crashes: &[&[1, 2], &[1, 2], &[1, 3]],
-            then: [Never, Apart, Free],
+            then: [Never, Isolated, Unrestricted],
         },
         Case {
             name: "two requests at the same three crashes: either may be the culprit",
             crashes: &[&[1, 2], &[1, 2], &[1, 2]],
-            then: [Apart, Apart, Free],
+            then: [Isolated, Isolated, Unrestricted],
         },
         Case {
             name: "two requests at the same three crashes, one of them alone at a fourth",
             crashes: &[&[1, 2], &[1, 2], &[1, 2], &[1]],
-            then: [Never, Apart, Free],
+            then: [Never, Isolated, Unrestricted],
         },
         Case {
             name: "a second culprit that always ran beside the first",
             crashes: &[&[1, 2], &[1, 2], &[1, 2], &[1], &[2], &[2]],
-            then: [Never, Never, Free],
+            then: [Never, Never, Unrestricted],
         },
         Case {
             name: "three crashes, two of them beside the culprit: not the culprit",
             crashes: &[&[1], &[1], &[1, 2], &[1, 2], &[2]],
-            then: [Never, Apart, Free],
+            then: [Never, Isolated, Unrestricted],
         },
     ];
     for case in cases {
-        let (mut tracker, mut now) = (CrashBook::default(), Instant::now());
+        let (mut tracker, mut now) = (CrashTracker::default(), Instant::now());
         for (at, running) in case.crashes.iter().enumerate() {
             crash(&mut tracker, at as u64, running, now);
             now += SETTLED;
@@ -71,33 +73,37 @@
 #[test]
 fn one_crash_counts_once_however_many_processes_saw_it() {
     let now = Instant::now();
-    let mut trackers: Vec<CrashBook> = (0..4).map(|_| CrashBook::default()).collect();
+    let mut trackers: Vec<CrashTracker> = (0..4).map(|_| CrashTracker::default()).collect();
     for tracker in &mut trackers {
         crash(tracker, 1, &[1], now);
     }
-    let gossip: Vec<CrashNews> = trackers.iter_mut().filter_map(|t| t.gossip(now)).collect();
-    let mut tracker = CrashBook::default();
+    let gossip: Vec<CrashGossip> = trackers.iter_mut().filter_map(|t| t.gossip(now)).collect();
+    let mut tracker = CrashTracker::default();
     for (n, gossip) in gossip.iter().enumerate() {
         for number in 1..3 {
             tracker.merge_gossip(&format!("g-{n}"), number, gossip.clone(), TIME, now);
         }
     }
-    assert_eq!(tracker.ends(request(1)).len(), 1);
-    assert_eq!(tracker.permission(request(1), true, TIME, now), Permission::Free);
+    assert_eq!(tracker.crashes_under(request(1)).len(), 1);
+    assert_eq!(tracker.permission(request(1), true, TIME, now), Permission::Unrestricted);
 }
 
 #[test]
 fn one_copy_of_a_suspect_runs_at_a_time() {
     let now = Instant::now();
-    let (mut here, mut there) = (CrashBook::default(), CrashBook::default());
-    assert!(!here.begin(request(1), upstream(7), TIME, now), "the others need not be told");
-    here.begin(request(1), upstream(8), TIME, now);
-    assert_eq!(here.permission(request(1), true, TIME, now), Permission::Free, "not a suspect yet");
-    here.end(request(1), upstream(7));
+    let (mut here, mut there) = (CrashTracker::default(), CrashTracker::default());
+    assert!(!here.copy_started(request(1), upstream(7), TIME, now), "the others need not be told");
+    here.copy_started(request(1), upstream(8), TIME, now);
+    assert_eq!(
+        here.permission(request(1), true, TIME, now),
+        Permission::Unrestricted,
+        "not a suspect yet"
+    );
+    here.copy_ended(request(1), upstream(7));
     crash(&mut here, 7, &[1], now);
     assert_eq!(
         here.permission(request(1), true, TIME, now),
-        Permission::AfterCopy,
+        Permission::AfterRunningCopy,
         "a copy runs on upstream 8"
     );
 
@@ -105,35 +111,35 @@
     there.merge_gossip(&"here".to_owned(), 2, gossip, TIME, now);
     assert_eq!(
         there.permission(request(1), true, TIME, now),
-        Permission::AfterCopy,
+        Permission::AfterRunningCopy,
         "a reported copy"
     );
-    here.end(request(1), upstream(8));
+    here.copy_ended(request(1), upstream(8));
     let gossip = here.gossip(now).expect("the crash is still announced");
     there.merge_gossip(&"here".to_owned(), 3, gossip.clone(), TIME, now);
     assert_eq!(
         there.permission(request(1), true, TIME, now),
-        Permission::Free,
+        Permission::Unrestricted,
         "the copy has ended"
     );
 
-    let late_gossip = CrashNews { copies: vec![], ..gossip };
-    there.begin(request(1), upstream(9), TIME, now);
+    let late_gossip = CrashGossip { copies: vec![], ..gossip };
+    there.copy_started(request(1), upstream(9), TIME, now);
     there.merge_gossip(&"here".to_owned(), 1, late_gossip, TIME, now);
     assert_eq!(
         there.permission(request(1), true, TIME, now),
-        Permission::AfterCopy,
+        Permission::AfterRunningCopy,
         "a copy of its own"
     );
-    there.end(request(1), upstream(9));
+    there.copy_ended(request(1), upstream(9));
 
     let copies = vec![CopyReport(request(1), upstream(8))];
-    let gossip = CrashNews { copies, ..CrashNews::default() };
+    let gossip = CrashGossip { copies, ..CrashGossip::default() };
     there.merge_gossip(&"here".to_owned(), 4, gossip, TIME, now);
     there.expire_copies(Duration::ZERO, now + Duration::from_secs(1));
     assert_eq!(
         there.permission(request(1), true, TIME, now),
-        Permission::Free,
+        Permission::Unrestricted,
         "copies of a silent process expire"
     );
 }
@@ -141,12 +147,12 @@
 #[test]
 fn a_completion_clears_a_request() {
     let now = Instant::now();
-    let (mut here, mut there) = (CrashBook::default(), CrashBook::default());
+    let (mut here, mut there) = (CrashTracker::default(), CrashTracker::default());
     for at in 0..3 {
         crash(&mut here, at, &[1], now);
     }
     let permission = here.permission(request(1), true, TIME, now);
-    assert!(matches!(permission, Permission::Settles(_)), "{permission:?}");
+    assert!(matches!(permission, Permission::NotBefore(_)), "{permission:?}");
     let now = now + SETTLED;
     assert_eq!(here.judge_suspects(TIME, now).len(), 1);
     there.merge_gossip(&"here".to_owned(), 1, here.gossip(now).expect("gossip"), TIME, now);
@@ -155,10 +161,13 @@
     assert_eq!(there.completed(request(1), TIME, now).len(), 1);
     here.merge_gossip(&"there".to_owned(), 1, there.gossip(now).expect("gossip"), TIME, now);
     for tracker in [&mut here, &mut there] {
-        assert_eq!(tracker.permission(request(1), true, TIME, now), Permission::Free);
+        assert_eq!(tracker.permission(request(1), true, TIME, now), Permission::Unrestricted);
         crash(tracker, 9, &[1], now);
-        assert!(tracker.ends(request(1)).is_empty(), "a cleared request is not suspected again");
-        assert_eq!(tracker.permission(request(1), true, TIME, now), Permission::Free);
+        assert!(
+            tracker.crashes_under(request(1)).is_empty(),
+            "a cleared request is not suspected again"
+        );
+        assert_eq!(tracker.permission(request(1), true, TIME, now), Permission::Unrestricted);
     }
     assert_eq!(here.fingerprint(), there.fingerprint());
 }
@@ -167,26 +176,30 @@
 #[test]
 fn a_crash_is_retracted_when_the_upstream_is_alive() {
     let now = Instant::now();
-    let (mut here, mut there) = (CrashBook::default(), CrashBook::default());
+    let (mut here, mut there) = (CrashTracker::default(), CrashTracker::default());
     for at in 0..3 {
         crash(&mut here, at, &[1], now);
     }
     let gossip = here.gossip(now).expect("gossip");
     there.merge_gossip(&"here".to_owned(), 1, gossip.clone(), TIME, now);
-    there.note_alive(upstream(1), now);
+    there.retract_crashes(upstream(1), now);
     there.merge_gossip(&"here".to_owned(), 2, gossip, TIME, now);
-    assert_eq!(there.ends(request(1)).len(), 2, "a late report of the retracted crash is ignored");
+    assert_eq!(
+        there.crashes_under(request(1)).len(),
+        2,
+        "a late report of the retracted crash is ignored"
+    );
     here.merge_gossip(&"there".to_owned(), 1, there.gossip(now).expect("gossip"), TIME, now);
     for tracker in [&mut here, &mut there] {
         assert!(tracker.judge_suspects(TIME, now + SETTLED).is_empty());
-        assert_eq!(tracker.permission(request(1), true, TIME, now + SETTLED), Permission::Apart);
+        assert_eq!(tracker.permission(request(1), true, TIME, now + SETTLED), Permission::Isolated);
     }
 }
 
 #[test]
 fn quarantined_requests_are_tried_again_rarely() {
     let now = Instant::now();
-    let mut tracker = CrashBook::default();
+    let mut tracker = CrashTracker::default();
     for at in 0..3 {
         crash(&mut tracker, at, &[1], now);
     }
@@ -195,9 +208,9 @@
     let day_ms = 24 * HOUR_MS;
     let (mut time, mut trials) = (TIME, 0);
     while time < TIME + day_ms {
-        if tracker.permission(request(1), true, time, now) == Permission::Apart {
-            tracker.begin(request(1), upstream(100 + trials), time, now);
-            tracker.end(request(1), upstream(100 + trials));
+        if tracker.permission(request(1), true, time, now) == Permission::Isolated {
+            tracker.copy_started(request(1), upstream(100 + trials), time, now);
+            tracker.copy_ended(request(1), upstream(100 + trials));
             crash(&mut tracker, 100 + trials, &[1], now);
             trials += 1;
         }
@@ -210,10 +223,13 @@
 #[test]
 fn a_customer_with_many_crashing_requests_evicts_only_its_own() {
     let now = Instant::now();
-    let mut tracker = CrashBook::default();
-    let record = |tracker: &mut CrashBook, customer: &str, digest: u64, at: u64| {
+    let mut tracker = CrashTracker::default();
+    let record = |tracker: &mut CrashTracker, customer: &str, digest: u64, at: u64| {
         let (digest, lifetime) = (request(digest), upstream(at));
-        tracker.note_end(Break { digest, customer: customer.to_owned(), lifetime }, now);
+        tracker.record_crash(
+            InterruptedAttempt { digest, customer: customer.to_owned(), lifetime },
+            now,
+        );
     };
     let settled = now + SETTLED;
     (0..3).for_each(|at| record(&mut tracker, "kitchen", 1, at));
@@ -235,11 +251,11 @@
 #[test]
 fn successive_copies_do_not_delay_the_verdict() {
     for gap_ms in [1, 50, 200, 399, 400, 401, 450, 1_000] {
-        let (mut tracker, mut now) = (CrashBook::default(), Instant::now());
+        let (mut tracker, mut now) = (CrashTracker::default(), Instant::now());
         let (mut at, start) = (0, now);
         while now < start + Duration::from_secs(20) {
             match tracker.permission(request(1), true, TIME, now) {
-                Permission::Settles(settled) => now = settled,
+                Permission::NotBefore(settled) => now = settled,
                 Permission::Never => break,
                 _ => {
                     crash(&mut tracker, at, &[1, 100 + at], now);
@@ -259,7 +275,7 @@
 #[test]
 fn the_culprit_is_announced_along_with_a_crash() {
     let start = Instant::now();
-    let mut old = CrashBook::default();
+    let mut old = CrashTracker::default();
     for at in 0..4 {
         let running: &[u64] = if at < 2 { &[1, 2] } else { &[1] };
         crash(&mut old, at, running, start);
@@ -269,12 +285,12 @@
     now += Duration::from_secs(60);
     crash(&mut old, 9, &[2], now);
     let gossip = old.gossip(now).expect("gossip");
-    let mut young = CrashBook::default();
+    let mut young = CrashTracker::default();
     young.merge_gossip(&"old".to_owned(), 1, gossip, TIME, now);
     now += SETTLED;
     let quarantined: Vec<_> = young.judge_suspects(TIME, now).iter().map(|c| c.digest).collect();
     assert_eq!(quarantined, [request(1)], "two of the other request's three crashes are explained");
-    assert_eq!(young.permission(request(2), true, TIME, now), Permission::Apart);
+    assert_eq!(young.permission(request(2), true, TIME, now), Permission::Isolated);
 }
 
 /// A request that is sent all the time is running at every crash. A gateway that has just started,
@@ -282,12 +298,12 @@
 #[test]
 fn a_request_that_completes_elsewhere_is_not_kept_quarantined() {
     let mut now = Instant::now();
-    let (mut old, mut young) = (CrashBook::default(), CrashBook::default());
+    let (mut old, mut young) = (CrashTracker::default(), CrashTracker::default());
     old.completed(request(1), TIME, now);
     crash(&mut young, 0, &[1], now);
     old.merge_gossip(&"young".to_owned(), 1, young.gossip(now).expect("gossip"), TIME, now);
     young.merge_gossip(&"old".to_owned(), 1, old.gossip(now).expect("an answer"), TIME, now);
-    assert!(young.ends(request(1)).is_empty(), "the other gateway has cleared it");
+    assert!(young.crashes_under(request(1)).is_empty(), "the other gateway has cleared it");
 
     // Cut off from the other gateway meanwhile, it reaches a verdict all the same.
     now += Duration::from_secs(20);
@@ -302,7 +318,7 @@
     assert_eq!(changes.last().map(|c| c.quarantined), Some(false));
     young.merge_gossip(&"old".to_owned(), 2, old.gossip(now).expect("gossip"), TIME, now);
     for tracker in [&old, &young] {
-        assert_eq!(tracker.permission(request(1), true, TIME, now), Permission::Free);
+        assert_eq!(tracker.permission(request(1), true, TIME, now), Permission::Unrestricted);
     }
 }
 
@@ -310,7 +326,7 @@
 #[test]
 fn a_completion_clears_a_request_only_for_a_while() {
     let mut now = Instant::now();
-    let mut tracker = CrashBook::default();
+    let mut tracker = CrashTracker::default();
     tracker.completed(request(1), TIME, now);
     now += Duration::from_secs(15);
     for at in 0..3 {
@@ -325,7 +341,7 @@
 #[test]
 fn each_new_crashing_request_of_a_customer_crashes_fewer_upstreams() {
     let mut now = Instant::now();
-    let mut tracker = CrashBook::default();
+    let mut tracker = CrashTracker::default();
     let (mut at, mut costs) = (0, Vec::new());
     for n in 0..10 {
         let first = at;
@@ -333,7 +349,10 @@
             // An innocent request of another customer runs beside it each time.
             for (digest, customer) in [(n, "hostile"), (1_000 + at, "temple")] {
                 let (digest, customer) = (request(digest), customer.to_owned());
-                tracker.note_end(Break { digest, customer, lifetime: upstream(at) }, now);
+                tracker.record_crash(
+                    InterruptedAttempt { digest, customer, lifetime: upstream(at) },
+                    now,
+                );
             }
             at += 1;
             assert!(at < 100, "request {n} is never quarantined");
@@ -346,7 +365,7 @@
     for n in 0..at {
         assert_eq!(
             tracker.permission(request(1_000 + n), true, TIME, now),
-            Permission::Free,
+            Permission::Unrestricted,
             "{n}"
         );
     }
--- a/tests/gateway_crash_fleet.rs
+++ b/tests/gateway_crash_fleet.rs
@@ -7,7 +7,7 @@
 
 use proptest::prelude::*;
 use support::crashes::{HOUR_MS, TIME, crash, request, upstream};
-use tackhollow::gateway::decide::{Break, CrashBook, CrashNews, Permission};
+use tackhollow::gateway::decide::{CrashGossip, CrashTracker, InterruptedAttempt, Permission};
 
 /// A running copy of a request.
 #[derive(Clone, Debug)]
@@ -24,18 +24,18 @@
     to: usize,
     from: usize,
     number: u64,
-    gossip: CrashNews,
+    gossip: CrashGossip,
 }
 
 /// Gateways in front of upstreams, simulated in steps of [`STEP`].
 struct Fleet {
-    trackers: Vec<CrashBook>,
+    trackers: Vec<CrashTracker>,
     copies: Vec<RunningCopy>,
     messages: Vec<Message>,
     /// Number of the next upstream lifetime.
     next_upstream: u64,
     upstreams: Vec<u64>,
-    store: CrashBook,
+    store: CrashTracker,
     rng: fastrand::Rng,
     start: Instant,
     step: u64,
@@ -58,12 +58,12 @@
 impl Fleet {
     fn new(gateways: usize, upstreams: u64, seed: u64) -> Self {
         Self {
-            trackers: (0..gateways).map(|_| CrashBook::default()).collect(),
+            trackers: (0..gateways).map(|_| CrashTracker::default()).collect(),
             copies: Vec::new(),
             messages: Vec::new(),
             next_upstream: upstreams,
             upstreams: (0..upstreams).collect(),
-            store: CrashBook::default(),
+            store: CrashTracker::default(),
             rng: fastrand::Rng::with_seed(seed),
             start: Instant::now(),
             step: 0,
@@ -87,16 +87,16 @@
         // The first gateway holds the lease.
         let may_try = gateway == 0;
         let apart = match self.trackers[gateway].permission(request(digest), may_try, time, now) {
-            Permission::Free => false,
-            Permission::Apart => true,
-            Permission::Never | Permission::AfterCopy | Permission::Settles(_) => return,
+            Permission::Unrestricted => false,
+            Permission::Isolated => true,
+            Permission::Never | Permission::AfterRunningCopy | Permission::NotBefore(_) => return,
         };
-        let at_risk = self.trackers[gateway].risked(apart);
+        let at_risk = self.trackers[gateway].upstreams_at_risk(apart);
         let is_safe = |n: &&u64| !at_risk.contains(&upstream(**n));
         let safe: Vec<u64> = self.upstreams.iter().filter(is_safe).copied().collect();
         let from = if safe.is_empty() { &self.upstreams } else { &safe };
         let at = from[self.rng.usize(..from.len())];
-        self.trackers[gateway].begin(request(digest), upstream(at), time, now);
+        self.trackers[gateway].copy_started(request(digest), upstream(at), time, now);
         let steps = if digest == CULPRIT { 1 } else { self.rng.u64(2..12) };
         self.copies.push(RunningCopy { gateway, digest, at, until: self.step + steps });
         if digest == CULPRIT {
@@ -122,7 +122,7 @@
         self.copies = running;
         let (now, time) = (self.now(), self.time());
         for copy in ended {
-            self.trackers[copy.gateway].end(request(copy.digest), upstream(copy.at));
+            self.trackers[copy.gateway].copy_ended(request(copy.digest), upstream(copy.at));
             self.trackers[copy.gateway].completed(request(copy.digest), time, now);
         }
     }
@@ -138,9 +138,10 @@
         self.copies = others;
         for copy in &lost {
             let (digest, lifetime) = (request(copy.digest), upstream(at));
-            self.trackers[copy.gateway].end(digest, lifetime);
+            self.trackers[copy.gateway].copy_ended(digest, lifetime);
             let customer = "temple".to_owned();
-            self.trackers[copy.gateway].note_end(Break { digest, customer, lifetime }, now);
+            self.trackers[copy.gateway]
+                .record_crash(InterruptedAttempt { digest, customer, lifetime }, now);
         }
         // Each is retried elsewhere, if it may be.
         lost.iter().for_each(|copy| self.send(copy.gateway, copy.digest));
@@ -192,7 +193,7 @@
     fn restart(&mut self, gateway: usize) {
         let now = self.now();
         self.copies.retain(|c| c.gateway != gateway);
-        self.trackers[gateway] = CrashBook::default();
+        self.trackers[gateway] = CrashTracker::default();
         self.trackers[gateway].merge(self.store.verdicts(), TIME, now);
     }
 
@@ -231,15 +232,16 @@
     const LOST: f64 = 0.1;
     for gateways in [7, 77, 195, 1_500] {
         let mut rng = fastrand::Rng::with_seed(gateways as u64);
-        let mut trackers: Vec<CrashBook> = (0..gateways).map(|_| CrashBook::default()).collect();
+        let mut trackers: Vec<CrashTracker> =
+            (0..gateways).map(|_| CrashTracker::default()).collect();
         let start = Instant::now();
         for (n, tracker) in trackers.iter_mut().take(3).enumerate() {
             crash(tracker, n as u64, &[1], start);
         }
         let mut number = 0;
-        let all_know = |trackers: &[CrashBook], now| {
+        let all_know = |trackers: &[CrashTracker], now| {
             let knows =
-                |t: &CrashBook| t.permission(request(1), true, TIME, now) == Permission::Never;
+                |t: &CrashTracker| t.permission(request(1), true, TIME, now) == Permission::Never;
             trackers.iter().all(knows)
         };
         let mut heartbeats = 0;
--- a/tests/gateway_crash_messages.rs
+++ b/tests/gateway_crash_messages.rs
@@ -2,7 +2,7 @@
 //! from heartbeats, and keep within their size limits.
 
 use tackhollow::gateway::{
-    decide::{CrashBook, CrashNews, CrashVerdict, SuspectReport, VerdictReport},
+    decide::{CrashGossip, CrashTracker, CrashVerdict, SuspectReport, VerdictReport},
     model::{Lifetime, RequestDigest},
     peering::{CrashNotice, Datagram, WireError, decode_verdicts, encode_verdicts},
 };
@@ -22,7 +22,10 @@
         peers: ([10, 1, 0, 14], 8_229).into(),
         number: 7,
         your_turn: false,
-        news: CrashNews { suspects: (0..suspects).map(suspect).collect(), ..CrashNews::default() },
+        news: CrashGossip {
+            suspects: (0..suspects).map(suspect).collect(),
+            ..CrashGossip::default()
+        },
     }
 }
 
@@ -84,7 +87,7 @@
 #[test]
 fn the_largest_number_of_verdicts_fits_into_a_row() {
     const ROW_BYTES: usize = 65_536;
-    let mut tracker = CrashBook::default();
+    let mut tracker = CrashTracker::default();
     let now = std::time::Instant::now();
     for n in 0..5_000 {
         tracker.merge(vec![verdict(n, &format!("customer-{}", n % 100))], 0, now);
--- a/tests/gateway_decisions.rs
+++ b/tests/gateway_decisions.rs
@@ -10,8 +10,8 @@
 use tackhollow::gateway::{
     board::{Board, StoreState},
     decide::{
-        CapacityRecord, Kept, Knowledge, OrderKey, OrderReport, QuotaBook, Removal, RetryBook,
-        RetryTerms, TrueClock, UsageBook, beats_a_report,
+        CapacityRecord, DurableState, OrderKey, OrderReport, PeerCorrectedClock, QuotaLimiter,
+        Removal, RetryPolicy, ServiceRetryBudgets, SyncPoint, UsageCounters, heartbeats_per_report,
     },
     request::EventSplitter,
 };
@@ -40,11 +40,11 @@
         Case { name: "the surplus is shared", requests: 0, processes: 9, most: 6 },
         Case { name: "many processes", requests: 100, processes: 300, most: 20 },
     ];
-    let terms = RetryTerms { ratio: 0.2, surplus: 58.0, window: ms(10_000) };
+    let terms = RetryPolicy { ratio: 0.2, surplus: 58.0, window: ms(10_000) };
     let service = "llm".to_owned();
     for case in cases {
         let now = Instant::now();
-        let mut budget = RetryBook::default();
+        let mut budget = ServiceRetryBudgets::default();
         for _ in 0..case.requests {
             budget.request(&service, terms, now);
         }
@@ -62,21 +62,21 @@
 
 #[test]
 fn usage_sums_all_processes_and_ignores_outdated_messages() {
-    let mut usage = UsageBook::default();
+    let mut usage = UsageCounters::default();
     usage.count("a", 7, &customer());
     usage.count("a", 7, &customer());
     let of_b = |n: u64| BTreeMap::from([(customer(), n)]);
-    usage.hear("b", 7, &of_b(5));
-    usage.hear("b", 7, &of_b(3));
+    usage.merge_counts("b", 7, &of_b(5));
+    usage.merge_counts("b", 7, &of_b(3));
     assert_eq!(usage.total(7), of_b(7));
-    assert_eq!(usage.of_process("a"), vec![(7, of_b(2))]);
-    usage.open("a", 9);
-    assert_eq!(usage.counted_before(9), vec![7]);
-    usage.open("a", 100);
+    assert_eq!(usage.process_windows("a"), vec![(7, of_b(2))]);
+    usage.open_window("a", 9);
+    assert_eq!(usage.windows_before(9), vec![7]);
+    usage.open_window("a", 100);
     assert_eq!(usage.total(7), BTreeMap::new(), "old windows are dropped");
-    usage.hear("b", 7, &of_b(5));
+    usage.merge_counts("b", 7, &of_b(5));
     assert_eq!(
-        usage.counted_before(100),
+        usage.windows_before(100),
         Vec::<u64>::new(),
         "outdated messages do not restore them"
     );
@@ -98,27 +98,27 @@
         Case { processes: 1_500, every: 8 },
     ];
     for case in cases {
-        assert_eq!(beats_a_report(case.processes, 24), case.every, "{}", case.processes);
+        assert_eq!(heartbeats_per_report(case.processes, 24), case.every, "{}", case.processes);
     }
 }
 
 #[test]
 fn restored_usage_that_is_reported_again_counts_once() {
     let now = Instant::now();
-    let mut before = UsageBook::default();
+    let mut before = UsageCounters::default();
     before.count("holder", 7, &customer());
-    before.hear("alive", 7, &BTreeMap::from([(customer(), 5), ("kitchens".to_owned(), 2)]));
-    before.hear("ended", 6, &BTreeMap::from([(customer(), 4)]));
+    before.merge_counts("alive", 7, &BTreeMap::from([(customer(), 5), ("kitchens".to_owned(), 2)]));
+    before.merge_counts("ended", 6, &BTreeMap::from([(customer(), 4)]));
     let (service, data_centre) = ("chat".to_owned(), "a".to_owned());
     let key = OrderKey { service, data_centre, reclaimable: true };
     let order = OrderReport { key, count: 4, refused: true, age_ms: 900 };
     let needs = BTreeMap::from([("chat".to_owned(), 7.5)]);
     let capacity = CapacityRecord { needs, orders: vec![order] };
-    let kept = Kept::of(BTreeMap::new(), &before, capacity.clone());
-    let mut after = UsageBook::default();
-    after.hear("alive", 7, &BTreeMap::from([(customer(), 3)]));
-    assert_eq!(kept.restore(&mut QuotaBook::new(now), &mut after, now), capacity);
-    after.hear("alive", 7, &BTreeMap::from([(customer(), 6)]));
+    let kept = DurableState::of(BTreeMap::new(), &before, capacity.clone());
+    let mut after = UsageCounters::default();
+    after.merge_counts("alive", 7, &BTreeMap::from([(customer(), 3)]));
+    assert_eq!(kept.restore(&mut QuotaLimiter::new(now), &mut after, now), capacity);
+    after.merge_counts("alive", 7, &BTreeMap::from([(customer(), 6)]));
     let seven = BTreeMap::from([(customer(), 7), ("kitchens".to_owned(), 2)]);
     assert_eq!(after.total(7), seven, "each process counts once, with its largest count");
     assert_eq!(after.total(6), BTreeMap::from([(customer(), 4)]));
@@ -130,10 +130,10 @@
     fn usage_does_not_depend_on_the_order_of_messages(
         messages in prop::collection::vec((0usize..5, 1u64..50), 1..40),
     ) {
-        let mut forward = UsageBook::default();
-        let mut reversed = UsageBook::default();
-        let merge = |usage: &mut UsageBook, (at, n): &(usize, u64)| {
-            usage.hear(&format!("p{at}"), 3, &BTreeMap::from([(customer(), *n)]));
+        let mut forward = UsageCounters::default();
+        let mut reversed = UsageCounters::default();
+        let merge = |usage: &mut UsageCounters, (at, n): &(usize, u64)| {
+            usage.merge_counts(&format!("p{at}"), 3, &BTreeMap::from([(customer(), *n)]));
         };
         messages.iter().for_each(|m| merge(&mut forward, m));
         messages.iter().rev().chain(&messages).for_each(|m| merge(&mut reversed, m));
@@ -154,13 +154,13 @@
     }
     let start = Instant::now();
     let now = start + ms(10_000);
-    let returned = |ago| StoreState::Returned(now - ms(ago));
+    let returned = |ago| StoreState::RecoveredSince(now - ms(ago));
     let often: &[u64] = &[7_000, 7_400, 7_800, 8_200, 8_600, 9_000, 9_400, 9_800];
     let cases = [
         Case { name: "the store answers", store: StoreState::Up, answers: &[], excused: false },
         Case {
             name: "the store is away",
-            store: StoreState::Away(start),
+            store: StoreState::OutageSince(start),
             answers: &[],
             excused: true,
         },
@@ -190,7 +190,7 @@
         },
     ];
     for case in cases {
-        let mut board = Board::new(TrueClock::new(start, 0), start);
+        let mut board = Board::new(PeerCorrectedClock::new(start, 0), start);
         board.store = case.store;
         case.answers.iter().for_each(|at| board.steadiness.note(true, start + ms(*at)));
         assert_eq!(board.removal(7, 0, now).is_some(), case.excused, "{}", case.name);
@@ -216,11 +216,11 @@
     let start = Instant::now();
     let now = start + ms(10_000);
     for case in cases {
-        let mut board = Board::new(TrueClock::new(start, 0), start);
-        board.store = StoreState::Returned(now - ms(1_000));
+        let mut board = Board::new(PeerCorrectedClock::new(start, 0), start);
+        board.store = StoreState::RecoveredSince(now - ms(1_000));
         board.store_clock.note(60_000, now);
-        board.upstreams_knowledge = Some(Knowledge { position: 1, as_of: 60_000 - case.seen_ago });
-        let until = board.removal(2, 60_000, now).map(Removal::expected_until);
+        board.upstreams_knowledge = Some(SyncPoint { position: 1, as_of: 60_000 - case.seen_ago });
+        let until = board.removal(2, 60_000, now).map(Removal::grace_period_end);
         assert_eq!(until.is_some(), case.excused, "{}", case.name);
         assert!(
             until.is_none_or(|t| t <= 61_000),
@@ -247,10 +247,10 @@
     ];
     for case in cases {
         let now = Instant::now();
-        let mut clock = TrueClock::new(now, 1_000_000);
+        let mut clock = PeerCorrectedClock::new(now, 1_000_000);
         for (i, ahead) in case.others.iter().enumerate() {
             let time = (1_000_000 + ahead) as u64;
-            clock.hear(&format!("p{i}"), time, now);
+            clock.record_peer_time(&format!("p{i}"), time, now);
         }
         let correction = clock.unix_millis(now) as i64 - 1_000_000;
         assert!(
--- a/tests/gateway_directory.rs
+++ b/tests/gateway_directory.rs
@@ -2,24 +2,24 @@
 
 mod support;
 
-use support::directory::{Bench, row};
+use support::directory::{DirectoryHarness, row};
 use tackhollow::{
     clock,
     gateway::{
         board::{StoreState, UpstreamView},
-        decide::{Knowledge, Removal},
+        decide::{Removal, SyncPoint},
         model::UpstreamPhase,
         peering::{RecentChanges, UpstreamChange, UpstreamSnapshot},
     },
     platform::{Change, Feed, Snapshot, StoreRow},
 };
 
-fn changes(bench: &mut Bench, rows: Vec<StoreRow>, position: u64) {
+fn changes(bench: &mut DirectoryHarness, rows: Vec<StoreRow>, position: u64) {
     let changes = rows.into_iter().map(Change::Written).collect();
     bench.feed(Feed { changes, revision: position, as_of: position });
 }
 
-fn snapshot(bench: &mut Bench, rows: Vec<StoreRow>, revision: u64) {
+fn snapshot(bench: &mut DirectoryHarness, rows: Vec<StoreRow>, revision: u64) {
     bench.snapshot(Snapshot { rows, revision, as_of: revision });
 }
 
@@ -35,7 +35,7 @@
 fn an_invalid_row_removes_its_upstream_if_it_is_the_newest_row() {
     struct Case {
         name: &'static str,
-        apply: fn(&mut Bench),
+        apply: fn(&mut DirectoryHarness),
         known: bool,
     }
     let cases = [
@@ -66,7 +66,7 @@
         },
     ];
     for case in cases {
-        let mut bench = Bench::new();
+        let mut bench = DirectoryHarness::new();
         changes(&mut bench, vec![valid_row("i-1", 4), valid_row("i-2", 5)], 5);
         (case.apply)(&mut bench);
         assert_eq!(bench.knows("i-1"), case.known, "{}", case.name);
@@ -75,7 +75,7 @@
 
 #[test]
 fn an_older_report_of_another_gateway_marks_no_row_as_missing() {
-    let mut bench = Bench::new();
+    let mut bench = DirectoryHarness::new();
     changes(&mut bench, vec![valid_row("i-1", 4)], 5);
     for (position, missing) in [(3, false), (6, true)] {
         let upstreams: Vec<_> =
@@ -83,7 +83,7 @@
         let removal =
             Removal { revision: position, last_seen: 4, store_back: position, lapsed: false };
         let snapshot = UpstreamSnapshot {
-            knowledge: Knowledge { position, as_of: position },
+            knowledge: SyncPoint { position, as_of: position },
             last_change: 4,
             upstreams,
             missing: vec![("i-1".to_owned(), removal)],
@@ -115,7 +115,7 @@
         Case { name: "nothing changed", rows: both, newest_change: 5 },
     ];
     for case in cases {
-        let mut bench = Bench::new();
+        let mut bench = DirectoryHarness::new();
         changes(&mut bench, vec![valid_row("i-1", 4), valid_row("i-2", 5)], 6);
         snapshot(&mut bench, case.rows, 9);
         let newest_change = bench.gateway.board.borrow().upstreams_last_change;
@@ -175,16 +175,16 @@
         },
     ];
     for case in cases {
-        let mut bench = Bench::new();
+        let mut bench = DirectoryHarness::new();
         let rows = ["i-1", "i-2", "i-3"].map(|id| valid_row(id, 4));
         changes(&mut bench, rows.into(), 6);
-        bench.gateway.board.borrow_mut().store = StoreState::Away(clock::now());
+        bench.gateway.board.borrow_mut().store = StoreState::OutageSince(clock::now());
         for report in case.reports {
             let id = "i-1".to_owned();
             let recent_changes = |revision, change| {
                 let mut recent = RecentChanges::default();
                 recent.push(revision, change, clock::now());
-                recent.advance(Knowledge { position: 7, as_of: 7 });
+                recent.advance(SyncPoint { position: 7, as_of: 7 });
                 recent
             };
             match *report {
@@ -249,7 +249,7 @@
         },
     ];
     for case in cases {
-        let mut bench = Bench::new();
+        let mut bench = DirectoryHarness::new();
         let rows = ["i-1", "i-2"].map(|id| valid_row(id, 4)).into_iter().map(Change::Written);
         bench.feed(Feed { changes: rows.collect(), revision: 6, as_of: 5_000 });
         for as_of in case.reads {
@@ -267,13 +267,13 @@
 /// present, and its period for returning started again.
 #[test]
 fn a_full_list_does_not_extend_the_grace_period_of_a_missing_row() {
-    let mut bench = Bench::new();
+    let mut bench = DirectoryHarness::new();
     let rows = || ["i-1", "i-2", "i-3"].map(|id| valid_row(id, 4));
     bench.feed(Feed { changes: rows().map(Change::Written).into(), revision: 6, as_of: 5_000 });
-    bench.gateway.board.borrow_mut().store = StoreState::Away(clock::now());
+    bench.gateway.board.borrow_mut().store = StoreState::OutageSince(clock::now());
     let changes = vec![Change::Removed("i-1".to_owned(), 7)];
     bench.feed(Feed { changes, revision: 7, as_of: 5_400 });
-    let removal = |bench: &Bench| {
+    let removal = |bench: &DirectoryHarness| {
         let board = bench.gateway.board.borrow();
         board.upstreams["i-1"].missing.map(|row| row.removal)
     };
--- a/tests/gateway_directory_order.rs
+++ b/tests/gateway_directory_order.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use proptest::prelude::*;
-use support::directory::{Bench, row};
+use support::directory::{DirectoryHarness, row};
 use tackhollow::{
     gateway::{model::UpstreamPhase, peering::UpstreamSnapshot},
     platform::{Change, Feed, Snapshot, StoreRow},
@@ -88,7 +88,7 @@
 }
 
 /// Delivers a message to `to`; `from` is the other gateway.
-fn deliver(store: &Store, to: &mut Bench, from: &Bench, message: Message) {
+fn deliver(store: &Store, to: &mut DirectoryHarness, from: &DirectoryHarness, message: Message) {
     match message {
         Message::Feed { after, upto } => {
             let after = fraction(after, to.position());
@@ -151,8 +151,8 @@
         messages in prop::collection::vec((any::<bool>(), message()), 1..40),
     ) {
         let store = Store(changes);
-        let mut a = Bench::new();
-        let mut b = Bench::beside(&a);
+        let mut a = DirectoryHarness::new();
+        let mut b = DirectoryHarness::beside(&a);
         let mut last_positions = [0, 0];
         for (to_a, message) in messages {
             let (to, from) = if to_a { (&mut a, &b) } else { (&mut b, &a) };
--- a/tests/gateway_heartbeats.rs
+++ b/tests/gateway_heartbeats.rs
@@ -7,8 +7,9 @@
 use tackhollow::gateway::{
     board::{Board, HEARTBEAT_PERIOD},
     decide::{
-        DIRECT, FAR_BYTES, NEAR_BYTES, Receivers, ServiceLoad, TrueClock, dealt, far_shares,
-        receivers, turns,
+        HEARTBEAT_FAN_OUT, MAX_FAR_DATAGRAM_BYTES, MAX_NEAR_DATAGRAM_BYTES, PeerCorrectedClock,
+        ReceiverCount, ServiceLoad, choose_receiver_count, receivers_per_data_centre, relay_order,
+        rotating_receivers,
     },
     model::Lifetime,
     net::Phase,
@@ -54,7 +55,7 @@
 impl Fleet {
     fn new(gateways: usize, seed: u64) -> Self {
         let start = Instant::now();
-        let board = |_| Board::new(TrueClock::new(start, 0), start);
+        let board = |_| Board::new(PeerCorrectedClock::new(start, 0), start);
         Self {
             start,
             now: 0,
@@ -116,18 +117,20 @@
         let others = (0..self.boards.len()).filter(|g| *g != from);
         let (near, far): (Vec<usize>, Vec<usize>) =
             others.partition(|g| data_centre(*g) == data_centre(from));
-        let Receivers { near: max_near, far: max_far } = receivers(near.len(), far.len());
+        let ReceiverCount { near: max_near, far: max_far } =
+            choose_receiver_count(near.len(), far.len());
         let beat = (self.now / HEARTBEAT_PERIOD.as_millis() as u64) as u32 + 7 * from as u32;
-        let near: Vec<usize> = turns(near.len(), max_near, beat).map(|i| near[i]).collect();
+        let near: Vec<usize> =
+            rotating_receivers(near.len(), max_near, beat).map(|i| near[i]).collect();
         let mut by_data_centre = vec![Vec::new(); DATA_CENTRES];
         far.iter().for_each(|g| by_data_centre[g % DATA_CENTRES].push(*g));
         by_data_centre.retain(|gateways| !gateways.is_empty());
         let sizes: Vec<usize> = by_data_centre.iter().map(Vec::len).collect();
-        let shares = far_shares(&sizes, max_far, beat);
+        let shares = receivers_per_data_centre(&sizes, max_far, beat);
         let chosen = by_data_centre.iter().zip(shares);
         let far: Vec<usize> = chosen.flat_map(|(all, most)| self.sample(all, most)).collect();
         let now = self.instant();
-        let relayed = self.boards[from].to_pass_on(&data_centre(from), now);
+        let relayed = self.boards[from].heartbeats_to_relay(&data_centre(from), now);
         let encoded: Vec<(bool, Vec<u8>)> = relayed
             .iter()
             .map(|(n, p)| (*n, p.encode().expect("the heartbeat is encoded")))
@@ -135,13 +138,18 @@
         let all: Vec<Vec<u8>> = encoded.iter().map(|(_, bytes)| bytes.clone()).collect();
         let from_own_data_centre: Vec<Vec<u8>> =
             encoded.into_iter().filter(|(near, _)| *near).map(|(_, bytes)| bytes).collect();
-        for (to, datagram) in near.iter().zip(datagrams(&own, &all, near.len(), NEAR_BYTES)) {
+        for (to, datagram) in
+            near.iter().zip(datagrams(&own, &all, near.len(), MAX_NEAR_DATAGRAM_BYTES))
+        {
             self.costs.near_bytes += datagram.len() as u64;
             self.send_datagram(*to, datagram);
         }
-        for (to, datagram) in
-            far.iter().zip(datagrams(&own, &from_own_data_centre, far.len(), FAR_BYTES))
-        {
+        for (to, datagram) in far.iter().zip(datagrams(
+            &own,
+            &from_own_data_centre,
+            far.len(),
+            MAX_FAR_DATAGRAM_BYTES,
+        )) {
             self.costs.far_bytes += datagram.len() as u64;
             self.send_datagram(*to, datagram);
         }
@@ -170,7 +178,7 @@
                 let known = board.peers.get(&process).map(|p| p.last.up_ms);
                 let own = heartbeat.host == format!("frontend-bkk-{to}");
                 if !own && known.is_none_or(|known| known < heartbeat.up_ms) {
-                    board.hear(process, heartbeat, sent);
+                    board.record_heartbeat(process, heartbeat, sent);
                 }
             }
         }
@@ -198,10 +206,10 @@
         let mut ages = Vec::new();
         let mut silent = 0;
         for board in &self.boards {
-            let heard = board.heard(now).count();
+            let heard = board.recently_heard(now).count();
             silent += self.boards.len() - 1 - heard;
             let age = |heard: Instant| now.saturating_duration_since(heard).as_millis() as u64;
-            ages.extend(board.peers.values().map(|p| age(p.heard)));
+            ages.extend(board.peers.values().map(|p| age(p.last_heard)));
         }
         (ages, silent)
     }
@@ -257,8 +265,8 @@
         assert!(mean <= case.max_mean_age_ms, "{} gateways: mean age {mean} ms", case.gateways);
         assert!(silent * 100 <= pairs, "{} gateways: {silent} pairs silent", case.gateways);
         assert!(each(far_bytes) <= case.max_far_bytes, "{} gateways", case.gateways);
-        assert!(each(datagrams) <= DIRECT as u64 * 7, "{} gateways", case.gateways);
-        assert!(max_datagram_bytes <= NEAR_BYTES, "{max_datagram_bytes} bytes");
+        assert!(each(datagrams) <= HEARTBEAT_FAN_OUT as u64 * 7, "{} gateways", case.gateways);
+        assert!(max_datagram_bytes <= MAX_NEAR_DATAGRAM_BYTES, "{max_datagram_bytes} bytes");
     }
 }
 
@@ -273,7 +281,7 @@
         let stopped = fleet.heartbeat(0).process();
         let now = fleet.instant();
         for board in &fleet.boards[1..] {
-            let is_heard = board.heard(now).any(|p| p.last.process() == stopped);
+            let is_heard = board.recently_heard(now).any(|p| p.last.process() == stopped);
             assert!(!is_heard, "{gateways} gateways: a stopped gateway is still heard");
         }
     }
@@ -282,12 +290,12 @@
 #[test]
 fn a_heartbeat_from_before_a_restart_is_outdated() {
     let fleet = Fleet::new(2, 3);
-    let mut board = Board::new(TrueClock::new(fleet.start, 0), fleet.start);
+    let mut board = Board::new(PeerCorrectedClock::new(fleet.start, 0), fleet.start);
     let before = Heartbeat { up_ms: 50_000, ..fleet.heartbeat(0) };
     let after = Heartbeat { up_ms: 20, incarnation: 5, time: before.time + 900, ..before.clone() };
-    board.hear(before.process(), before.clone(), fleet.start);
+    board.record_heartbeat(before.process(), before.clone(), fleet.start);
     assert!(!board.is_outdated(&after.process(), &after));
-    board.hear(after.process(), after.clone(), fleet.start);
+    board.record_heartbeat(after.process(), after.clone(), fleet.start);
     assert!(board.is_outdated(&before.process(), &before));
     assert!(board.peers.contains_key(&after.process()));
 }
@@ -299,10 +307,10 @@
     /// own data centre and the others get some.
     #[test]
     fn receivers_are_bounded_in_each_group(near in 0_usize..2_000, far in 0_usize..2_000) {
-        let chosen = receivers(near, far);
+        let chosen = choose_receiver_count(near, far);
         prop_assert!(chosen.near <= near && chosen.far <= far);
-        prop_assert!(chosen.near + chosen.far <= DIRECT);
-        prop_assert_eq!(chosen.near + chosen.far, DIRECT.min(near + far));
+        prop_assert!(chosen.near + chosen.far <= HEARTBEAT_FAN_OUT);
+        prop_assert_eq!(chosen.near + chosen.far, HEARTBEAT_FAN_OUT.min(near + far));
         prop_assert!(far == 0 || chosen.far > 0);
         prop_assert!(near == 0 || chosen.near > 0);
     }
@@ -317,7 +325,7 @@
         let turns = sizes.len() as u32;
         let mut totals = vec![0; sizes.len()];
         for beat in (0..turns).map(|n| beat + n) {
-            let shares = far_shares(&sizes, most, beat);
+            let shares = receivers_per_data_centre(&sizes, most, beat);
             prop_assert_eq!(shares.iter().sum::<usize>(), most.min(sizes.iter().sum()));
             prop_assert!(shares.iter().zip(&sizes).all(|(share, size)| share <= size));
             totals.iter_mut().zip(shares).for_each(|(total, share)| *total += share);
@@ -330,10 +338,10 @@
     fn each_receiver_is_offered_all(heartbeats in 0_usize..60, receivers in 1_usize..10) {
         let mut first = Vec::new();
         for receiver in 0..receivers {
-            let mut dealt: Vec<usize> = dealt(heartbeats, receiver, receivers).collect();
-            first.extend(dealt.iter().take(heartbeats / receivers).copied());
-            dealt.sort_unstable();
-            prop_assert_eq!(dealt, (0..heartbeats).collect::<Vec<_>>());
+            let mut relay_order: Vec<usize> = relay_order(heartbeats, receiver, receivers).collect();
+            first.extend(relay_order.iter().take(heartbeats / receivers).copied());
+            relay_order.sort_unstable();
+            prop_assert_eq!(relay_order, (0..heartbeats).collect::<Vec<_>>());
         }
         first.sort_unstable();
         first.dedup();
--- a/tests/gateway_leaving.rs
+++ b/tests/gateway_leaving.rs
@@ -13,7 +13,7 @@
 
 use tackhollow::gateway::{
     board::Board,
-    decide::{Knowledge, TrueClock},
+    decide::{PeerCorrectedClock, SyncPoint},
     model::{Upstream, UpstreamPhase},
 };
 use upstreams::upstream;
@@ -22,11 +22,11 @@
 
 /// Returns a board that learns that the upstream is leaving `learnt` after it last saw the store.
 fn board(start: Instant, learnt: Duration) -> Board {
-    let mut board = Board::new(TrueClock::new(start, 0), start);
+    let mut board = Board::new(PeerCorrectedClock::new(start, 0), start);
     board.store_clock.note(5_000, start);
-    board.upstreams_knowledge = Some(Knowledge { position: 3, as_of: 5_000 });
-    board.describe(upstream(UpstreamPhase::Ready, 1), start);
-    board.describe(upstream(UpstreamPhase::Draining, 1), start + learnt);
+    board.upstreams_knowledge = Some(SyncPoint { position: 3, as_of: 5_000 });
+    board.apply_description(upstream(UpstreamPhase::Ready, 1), start);
+    board.apply_description(upstream(UpstreamPhase::Draining, 1), start + learnt);
     board
 }
 
@@ -80,13 +80,13 @@
     ];
     let start = Instant::now();
     for case in cases {
-        let mut board = Board::new(TrueClock::new(start, 0), start);
-        board.describe(upstream(UpstreamPhase::Ready, 1), start);
+        let mut board = Board::new(PeerCorrectedClock::new(start, 0), start);
+        board.apply_description(upstream(UpstreamPhase::Ready, 1), start);
         let chosen = board.upstreams["i-1"].lifetime;
         let now = start + 3 * SECOND;
         match case.learnt {
             Some((described, age)) => {
-                board.describe(described, now - age);
+                board.apply_description(described, now - age);
             }
             None => board.upstreams.clear(),
         }
--- a/tests/gateway_lifetimes.rs
+++ b/tests/gateway_lifetimes.rs
@@ -14,8 +14,8 @@
     wait_until,
 };
 use tackhollow::gateway::{
-    board::{Board, Described, Load},
-    decide::{TrueClock, Verdict},
+    board::{Board, DescriptionChange, Load},
+    decide::{AttemptOutcome, PeerCorrectedClock},
     model::{Lifetime, Upstream, UpstreamPhase},
     net::Phase,
     peering::{Heartbeat, LoadReport, RecentChanges},
@@ -78,56 +78,56 @@
     struct Case {
         name: &'static str,
         starts: Vec<Option<u64>>,
-        described: Described,
+        described: DescriptionChange,
     }
     let cases = [
         Case {
             name: "same start time",
             starts: vec![Some(BORN), Some(BORN)],
-            described: Described::Same,
+            described: DescriptionChange::Same,
         },
         Case {
             name: "restarted",
             starts: vec![Some(BORN), Some(BORN + 900)],
-            described: Described::StartedAgain,
+            described: DescriptionChange::NewLifetime,
         },
         Case {
             name: "restarted after its clock was set back",
             starts: vec![Some(BORN), Some(BORN - 2_000)],
-            described: Described::StartedAgain,
+            described: DescriptionChange::NewLifetime,
         },
         Case {
             name: "restarted twice, the second time with the first start time",
             starts: vec![Some(BORN), Some(BORN + 900), Some(BORN)],
-            described: Described::StartedAgain,
+            described: DescriptionChange::NewLifetime,
         },
         Case {
             name: "start time missing in the last description",
             starts: vec![Some(BORN), None],
-            described: Described::Same,
+            described: DescriptionChange::Same,
         },
         Case {
             name: "start time missing in between",
             starts: vec![Some(BORN), None, Some(BORN)],
-            described: Described::Same,
+            described: DescriptionChange::Same,
         },
         Case {
             name: "start time never given",
             starts: vec![None, None],
-            described: Described::Same,
+            described: DescriptionChange::Same,
         },
         Case {
             name: "start time given for the first time",
             starts: vec![None, Some(BORN)],
-            described: Described::StartedAgain,
+            described: DescriptionChange::NewLifetime,
         },
     ];
     for case in cases {
         let now = Instant::now();
-        let mut board = Board::new(TrueClock::new(now, 0), now);
-        let mut last = Described::New;
+        let mut board = Board::new(PeerCorrectedClock::new(now, 0), now);
+        let mut last = DescriptionChange::New;
         for born in case.starts {
-            last = board.describe(upstream(born), now);
+            last = board.apply_description(upstream(born), now);
         }
         assert_eq!(last, case.described, "{}", case.name);
     }
@@ -136,25 +136,25 @@
 #[test]
 fn a_new_lifetime_clears_the_state_of_the_previous_one() {
     let now = Instant::now();
-    let mut board = Board::new(TrueClock::new(now, 0), now);
+    let mut board = Board::new(PeerCorrectedClock::new(now, 0), now);
     let (old, new) = (Lifetime::new("i-1", Some(BORN)), Lifetime::new("i-1", Some(BORN + 1)));
-    board.describe(upstream(Some(BORN)), now);
+    board.apply_description(upstream(Some(BORN)), now);
     board.cache.note(old, 7, 1_000, 10_000, now);
     let view = board.in_lifetime(&"i-1".to_owned(), old).expect("the upstream is known");
     view.own = Load { running: 3, pending_tokens: 900 };
-    view.breaker.record(Verdict::Unreachable, now);
+    view.breaker.record(AttemptOutcome::Unreachable, now);
     let peer = heartbeat("b", vec![LoadReport(old, 5, 700)]);
-    board.hear(peer.process(), peer, now);
-    assert_eq!(board.others_load(&board.upstreams["i-1"]).running, 5);
+    board.record_heartbeat(peer.process(), peer, now);
+    assert_eq!(board.peer_load(&board.upstreams["i-1"]).running, 5);
 
-    board.describe(upstream(Some(BORN + 1)), now);
+    board.apply_description(upstream(Some(BORN + 1)), now);
     board.forget_lifetimes(now);
     let view = &board.upstreams["i-1"];
     assert_eq!(view.lifetime, new);
     assert_eq!(view.own, Load::default());
     assert!(!view.breaker.is_avoided(now) && view.breaker.recent_failures(now) == 0.0);
     assert_eq!(
-        board.others_load(view),
+        board.peer_load(view),
         Load::default(),
         "load of the earlier lifetime, reported by another gateway"
     );
@@ -189,22 +189,22 @@
         Step { name: "its next heartbeat", at_ms: 5_020, host: "b", running: 3, sum: 10 },
     ];
     let start = Instant::now();
-    let mut board = Board::new(TrueClock::new(start, 0), start);
-    board.describe(upstream(Some(BORN)), start);
+    let mut board = Board::new(PeerCorrectedClock::new(start, 0), start);
+    board.apply_description(upstream(Some(BORN)), start);
     let lifetime = Lifetime::new("i-1", Some(BORN));
     for step in steps {
         let now = start + Duration::from_millis(step.at_ms);
         let beat = heartbeat(step.host, vec![LoadReport(lifetime, step.running, 0)]);
-        board.hear(beat.process(), beat, now);
-        board.forget_silent_loads(now);
-        assert_eq!(board.others_load(&board.upstreams["i-1"]).running, step.sum, "{}", step.name);
+        board.record_heartbeat(beat.process(), beat, now);
+        board.subtract_silent_loads(now);
+        assert_eq!(board.peer_load(&board.upstreams["i-1"]).running, step.sum, "{}", step.name);
     }
     let mut again = heartbeat("b", vec![LoadReport(lifetime, 1, 0)]);
     again.incarnation = 2;
     let now = start + Duration::from_millis(5_030);
-    board.hear(again.process(), again, now);
+    board.record_heartbeat(again.process(), again, now);
     assert_eq!(
-        board.others_load(&board.upstreams["i-1"]).running,
+        board.peer_load(&board.upstreams["i-1"]).running,
         8,
         "a new process replaces the load of its host"
     );
--- a/tests/gateway_orders.rs
+++ b/tests/gateway_orders.rs
@@ -7,8 +7,8 @@
 
 use fleets::{POLICY, fleets, ms, need, scaling};
 use tackhollow::gateway::decide::{
-    CapacityInput, NeedPeak, OrderBook, OrderKey, OrderPacer, OrderReport, OrderState, PaceInput,
-    plan_engines,
+    CapacityInput, EngineOrders, NeedPeak, OrderKey, OrderPacer, OrderPacerInput, OrderReport,
+    OrderState, plan_engines,
 };
 
 #[test]
@@ -65,11 +65,11 @@
         pacer.record_sent(start);
         pacer.record_result(6, case.state);
         assert_eq!(pacer.is_refused(start), case.refused, "{}", case.name);
-        let input = PaceInput {
-            wished: case.desired,
+        let input = OrderPacerInput {
+            target_count: case.desired,
             serving: 4,
             reclaimable: false,
-            dry: false,
+            reclaimable_unavailable: false,
             idle: false,
             load_known: true,
             boot: ms(4_000),
@@ -101,11 +101,11 @@
     for case in cases {
         let now = Instant::now();
         let mut pacer = OrderPacer::new(0, now);
-        let input = |serving| PaceInput {
-            wished: 4,
+        let input = |serving| OrderPacerInput {
+            target_count: 4,
             serving,
             reclaimable: true,
-            dry: false,
+            reclaimable_unavailable: false,
             idle: false,
             load_known: true,
             boot: ms(4_000),
@@ -131,22 +131,22 @@
         data_centre: data_centre.to_owned(),
         reclaimable,
     };
-    let input = |desired, serving, reclaimable| PaceInput {
-        wished: desired,
+    let input = |desired, serving, reclaimable| OrderPacerInput {
+        target_count: desired,
         serving,
         reclaimable,
-        dry: reclaimable,
+        reclaimable_unavailable: reclaimable,
         idle: false,
         load_known: true,
         boot: ms(4_000),
     };
-    let mut before = OrderBook::default();
+    let mut before = EngineOrders::default();
     for name in ["a", "b", "c", "d"] {
-        assert_eq!(before.next(&key(name, true), &input(4, 0, true), now), Some(4));
-        before.answered(&key(name, true), 4, OrderState::Refused);
+        assert_eq!(before.next_order_count(&key(name, true), &input(4, 0, true), now), Some(4));
+        before.record_order_result(&key(name, true), 4, OrderState::Refused);
     }
-    assert_eq!(before.next(&key("b", false), &input(5, 0, false), now), Some(5));
-    before.answered(&key("b", false), 5, OrderState::Accepted);
+    assert_eq!(before.next_order_count(&key("b", false), &input(5, 0, false), now), Some(5));
+    before.record_order_result(&key("b", false), 5, OrderState::Accepted);
     struct Case {
         name: &'static str,
         reports: Vec<OrderReport>,
@@ -169,11 +169,16 @@
         },
     ];
     for case in cases {
-        let mut after = OrderBook::default();
+        let mut after = EngineOrders::default();
         after.resume(&case.reports, now);
-        assert_eq!(after.is_dry("chat", now), case.unavailable, "{}", case.name);
+        assert_eq!(
+            after.is_reclaimable_unavailable("chat", now),
+            case.unavailable,
+            "{}",
+            case.name
+        );
         let mut fleets = fleets([0; 4]);
-        after.expect("chat", &mut fleets, ms(4_000), now);
+        after.add_expected_engines("chat", &mut fleets, ms(4_000), now);
         let scaling = scaling(10);
         let input = CapacityInput {
             need: need(5.0),
@@ -280,11 +285,11 @@
         let mut ordered = None;
         for (i, need) in case.required.iter().enumerate() {
             let now = now + ms(1_000 * i as u64);
-            let input = PaceInput {
-                wished: peak.record(f64::from(*need), now).ceil() as u32,
+            let input = OrderPacerInput {
+                target_count: peak.record(f64::from(*need), now).ceil() as u32,
                 serving: 10,
                 reclaimable: case.reclaimable,
-                dry: case.unavailable,
+                reclaimable_unavailable: case.unavailable,
                 idle: case.idle,
                 load_known: case.load_known,
                 boot: ms(4_000),
@@ -299,11 +304,11 @@
 fn engines_on_demand_are_given_up_once_reclaimable_engines_carry_the_load() {
     let now = Instant::now();
     let mut pacer = OrderPacer::new(10, now);
-    let input = |desired| PaceInput {
-        wished: desired,
+    let input = |desired| OrderPacerInput {
+        target_count: desired,
         serving: 10,
         reclaimable: false,
-        dry: true,
+        reclaimable_unavailable: true,
         idle: false,
         load_known: true,
         boot: ms(4_000),
--- a/tests/gateway_outcomes.rs
+++ b/tests/gateway_outcomes.rs
@@ -73,7 +73,7 @@
 const REPORT_DELAY_MS: u64 = 450;
 /// Speed of the engines.
 const SPEED: EngineSpeed =
-    EngineSpeed { base: 0.02, per_token: 1.0 / 50_000.0, per_running: 0.002, held: 1.9 };
+    EngineSpeed { base: 0.02, per_token: 1.0 / 50_000.0, per_running: 0.002, slot_seconds: 1.9 };
 
 /// Returns the share of the requests that fail.
 fn simulate(scenario: &Scenario, seed: u64) -> f64 {
@@ -114,7 +114,7 @@
                     failures: seen.expected_failures(service),
                     remote: false,
                     connected: true,
-                    chance: rng.f64(),
+                    jitter_sample: rng.f64(),
                 }
             })
             .collect();
--- a/tests/gateway_quotas.rs
+++ b/tests/gateway_quotas.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use tackhollow::gateway::{
     board::Board,
-    decide::{PeerTotal, QuotaBook, QuotaShare, QuotaTerms, TrueClock},
+    decide::{PeerCorrectedClock, PeerTotal, QuotaLimiter, QuotaPolicy, QuotaShare},
     model::Quota,
 };
 
@@ -56,7 +56,7 @@
     let quota = Quota { rate: 1_000.0, burst: 1_000.0 };
     for case in cases {
         let started = Instant::now();
-        let mut limiter = QuotaBook::new(started);
+        let mut limiter = QuotaLimiter::new(started);
         let taken = limiter.take(&customer(), quota, case.tokens, ALONE, started + case.uptime);
         assert_eq!(taken.is_ok(), case.admitted, "{}", case.name);
     }
@@ -100,12 +100,12 @@
     for case in cases {
         let now = Instant::now();
         let customer = customer();
-        let mut limiter = QuotaBook::new(now);
+        let mut limiter = QuotaLimiter::new(now);
         let stored = case.stored.into_iter().map(|level| (customer.clone(), level));
         limiter.restore(&stored.collect(), now);
         let (older, total) = (case.older, case.total);
         let peer = PeerTotal { process: "p", older, customer: &customer, total };
-        limiter.hear(peer, quota, now);
+        limiter.record_peer_total(peer, quota, now);
         let taken = limiter.take(&customer, quota, 600, ALONE, now + ms(20));
         assert_eq!(taken.is_ok(), case.admitted, "{}", case.name);
     }
@@ -119,12 +119,12 @@
     let quota = Quota { rate: 1_000.0, burst: 1_000.0 };
     let now = Instant::now();
     let customer = customer();
-    let mut limiter = QuotaBook::new(now);
+    let mut limiter = QuotaLimiter::new(now);
     limiter.restore(&BTreeMap::from([(customer.clone(), 1_000.0)]), now);
     for tenth in 0..=20 {
         let (at, total) = (now + ms(100 * tenth as u64), 50 * tenth);
         let peer = PeerTotal { process: "p", older: true, customer: &customer, total };
-        limiter.hear(peer, quota, at);
+        limiter.record_peer_total(peer, quota, at);
     }
     let level = limiter.levels(ALONE, now + ms(2_000))[&customer];
     assert!(level >= 900.0, "only half of the rate was used: {level}");
@@ -151,11 +151,11 @@
     for case in cases {
         let now = Instant::now();
         let customer = customer();
-        let mut limiter = QuotaBook::new(now);
+        let mut limiter = QuotaLimiter::new(now);
         limiter.restore(&BTreeMap::from([(customer.clone(), 1_000.0)]), now);
         for (after, total) in [(0, 0), (100, 200), (200, 400)] {
             let peer = PeerTotal { process: "p", older: true, customer: &customer, total };
-            limiter.hear(peer, quota, now + ms(after));
+            limiter.record_peer_total(peer, quota, now + ms(after));
         }
         let at = now + ms(200) + case.silent;
         let taken = limiter.take(&customer, quota, 500, ALONE, at);
@@ -167,7 +167,7 @@
 fn tokens_of_a_request_that_did_not_run_are_returned() {
     let quota = Quota { rate: 10.0, burst: 100.0 };
     let now = Instant::now();
-    let mut limiter = QuotaBook::new(now);
+    let mut limiter = QuotaLimiter::new(now);
     let later = now + ms(60_000);
     limiter.take(&customer(), quota, 100, ALONE, later).expect("the bucket is full");
     limiter.take(&customer(), quota, 100, ALONE, later).expect_err("the bucket is empty");
@@ -181,7 +181,7 @@
     let quota = Quota { rate: 900.0, burst: 10.0 };
     let now = Instant::now();
     let partitioned = QuotaShare { heard: 1, members: 9 };
-    let mut limiter = QuotaBook::new(now);
+    let mut limiter = QuotaLimiter::new(now);
     let full = now + ms(60_000);
     limiter.take(&customer(), quota, 10, partitioned, full).expect("the bucket is full");
     let exceeded =
@@ -224,7 +224,7 @@
     let quota = Quota { rate: 0.001, burst: 7_000.0 };
     for case in cases {
         let now = Instant::now();
-        let mut limiter = QuotaBook::new(now);
+        let mut limiter = QuotaLimiter::new(now);
         limiter.restore(&BTreeMap::from([(customer(), case.stored)]), now);
         let share = QuotaShare { heard: case.heard, members: 70 };
         let takes = (0..100).map(|_| limiter.take(&customer(), quota, case.tokens, share, now));
@@ -266,8 +266,8 @@
     let quota = Quota { rate: 25.0, burst: 100.0 };
     for case in cases {
         let now = Instant::now();
-        let mut limiter = QuotaBook::new(now);
-        limiter.set_terms(QuotaTerms { window: ms(8_000), extra: case.extra });
+        let mut limiter = QuotaLimiter::new(now);
+        limiter.set_terms(QuotaPolicy { window: ms(8_000), extra: case.extra });
         limiter.restore(&BTreeMap::from([(customer(), 10_000.0)]), now);
         let takes = case.requests.iter().map(|at| {
             let at = now + ms(*at);
@@ -286,8 +286,8 @@
     ) {
         let quota = Quota { rate: 100.0, burst: 300.0 };
         let now = Instant::now();
-        let mut limiter = QuotaBook::new(now);
-        limiter.set_terms(QuotaTerms { window: ms(8_000), extra });
+        let mut limiter = QuotaLimiter::new(now);
+        limiter.set_terms(QuotaPolicy { window: ms(8_000), extra });
         limiter.restore(&BTreeMap::from([(customer(), 10_000.0)]), now);
         let mut at = 0;
         let mut admitted: Vec<(u64, u64)> = Vec::new();
@@ -323,8 +323,8 @@
     ];
     for case in cases {
         let started = Instant::now();
-        let mut board = Board::new(TrueClock::new(started, 0), started);
-        board.announced = case.announced;
+        let mut board = Board::new(PeerCorrectedClock::new(started, 0), started);
+        board.announced_hosts = case.announced;
         let share = board.quota_share(started + case.uptime);
         assert_eq!(share, QuotaShare { heard: 1, members: case.members }, "{}", case.name);
     }
@@ -340,7 +340,7 @@
         let quota = Quota { rate: 2_000.0, burst: 2_000.0 };
         let share = QuotaShare { heard: 4, members: 4 };
         let start = Instant::now();
-        let mut limiters: Vec<QuotaBook> = (0..4).map(|_| QuotaBook::new(start)).collect();
+        let mut limiters: Vec<QuotaLimiter> = (0..4).map(|_| QuotaLimiter::new(start)).collect();
         let mut admitted = 0.0;
         let mut now = start;
         for (at, tokens, exchange) in steps {
@@ -360,7 +360,7 @@
                             customer: &customer,
                             total: *total,
                         };
-                        limiter.hear(peer, quota, now);
+                        limiter.record_peer_total(peer, quota, now);
                     }
                 }
             }
--- a/tests/gateway_rate_limits.rs
+++ b/tests/gateway_rate_limits.rs
@@ -11,7 +11,9 @@
 use serde_json::json;
 use support::{
     gateways::Site,
-    signals::{HOLDS_AFTER, arrivals, borne, call, keep_calling, most_in_a_span},
+    signals::{
+        LIMIT_HOLDS_AFTER, arrivals, call, call_repeatedly, max_in_window, tolerated_in_window,
+    },
 };
 
 /// How long a limit is announced.
@@ -37,18 +39,18 @@
         site.signal(id, &[("server-limit", &case.rate.to_string())]);
     }
     let from = site.emulator_now();
-    let got = keep_calling(&site, 1, case.streams, || thread::sleep(ANNOUNCED_FOR));
+    let got = call_repeatedly(&site, 1, case.streams, || thread::sleep(ANNOUNCED_FOR));
     let seen = site.seen();
     for id in &limited {
         let arrivals = arrivals(&seen, id);
-        let most = most_in_a_span(&arrivals, from + HOLDS_AFTER, Duration::MAX);
-        let (name, tolerated) = (case.name, borne(case.rate));
+        let most = max_in_window(&arrivals, from + LIMIT_HOLDS_AFTER, Duration::MAX);
+        let (name, tolerated) = (case.name, tolerated_in_window(case.rate));
         assert!(
             most <= tolerated,
             "{name}: {id} got {most} requests in a window, {tolerated} are tolerated"
         );
-        let taken = arrivals.iter().filter(|a| a.at >= from + HOLDS_AFTER).count() as f64;
-        let offered = case.rate * (ANNOUNCED_FOR - HOLDS_AFTER).as_secs_f64();
+        let taken = arrivals.iter().filter(|a| a.at >= from + LIMIT_HOLDS_AFTER).count() as f64;
+        let offered = case.rate * (ANNOUNCED_FOR - LIMIT_HOLDS_AFTER).as_secs_f64();
         let is_needed = case.limited == case.upstreams;
         let is_used = !is_needed || taken >= offered / 2.0;
         assert!(is_used, "{name}: {id} got {taken} of the {offered} requests that it takes");
@@ -108,14 +110,18 @@
     let from = site.emulator_now();
     let first = call(false, 0).send(site.gateways[0].callers);
     assert!(first.is_some_and(|a| a.status == StatusCode::OK), "the response announces the limit");
-    thread::sleep(HOLDS_AFTER);
-    let got = keep_calling(site, 1, false, || thread::sleep(2 * ANNOUNCED_FOR));
+    thread::sleep(LIMIT_HOLDS_AFTER);
+    let got = call_repeatedly(site, 1, false, || thread::sleep(2 * ANNOUNCED_FOR));
     let of_gateway = |n| got.iter().filter(|g| g.gateway == n && g.is_served()).count();
     let served: Vec<usize> = (0..site.gateways.len()).map(of_gateway).collect();
     assert!(served.iter().all(|served| *served > 0), "requests served by each gateway: {served:?}");
     let arrivals = arrivals(&site.seen(), "i-1");
-    let most = most_in_a_span(&arrivals, from + HOLDS_AFTER, Duration::MAX);
-    assert!(most <= borne(RATE), "{most} requests in a window, {} are tolerated", borne(RATE));
+    let most = max_in_window(&arrivals, from + LIMIT_HOLDS_AFTER, Duration::MAX);
+    assert!(
+        most <= tolerated_in_window(RATE),
+        "{most} requests in a window, {} are tolerated",
+        tolerated_in_window(RATE)
+    );
     let offered = RATE * 2.0 * ANNOUNCED_FOR.as_secs_f64();
     let all: usize = served.iter().sum();
     assert!(all as f64 >= offered * 0.7, "{all} of the {offered} requests that it takes");
--- a/tests/gateway_reading.rs
+++ b/tests/gateway_reading.rs
@@ -8,7 +8,7 @@
 
 use proptest::prelude::*;
 use readers::{Outages, Plan, World};
-use tackhollow::gateway::decide::{Backoff, READERS, Reader, rank};
+use tackhollow::gateway::decide::{Backoff, READER_COUNT, ReaderCandidate, reader_rank};
 
 /// Number of gateways, and number of seeds that are simulated with it.
 const SIZES: [(usize, u64); 3] = [(7, 400), (77, 40), (195, 12)];
@@ -62,10 +62,10 @@
     match failure {
         GatewayFailure::None => {}
         GatewayFailure::OneReader => {
-            plans[rng.usize(..READERS)] = [cut, dead, frozen][rng.usize(..3)].clone();
+            plans[rng.usize(..READER_COUNT)] = [cut, dead, frozen][rng.usize(..3)].clone();
         }
-        GatewayFailure::AllReaders => plans[..READERS].fill(cut),
-        GatewayFailure::ReadersKilled => plans[..READERS].fill(dead),
+        GatewayFailure::AllReaders => plans[..READER_COUNT].fill(cut),
+        GatewayFailure::ReadersKilled => plans[..READER_COUNT].fill(dead),
         GatewayFailure::OneThird => {
             (0..gateways).filter(|i| i % 3 == 0).for_each(|i| plans[i] = cut.clone());
         }
@@ -127,7 +127,7 @@
 /// As [`latest`], without the readers, one of which may be frozen.
 fn latest_of_non_readers(world: &mut World, confirmed: u64, gateways: usize) -> u64 {
     let knew = world.play(confirmed + 3_000);
-    let known = (READERS..gateways).map(|i| knew[i].unwrap_or(u64::MAX));
+    let known = (READER_COUNT..gateways).map(|i| knew[i].unwrap_or(u64::MAX));
     known.max().map_or(0, |t| t.saturating_sub(confirmed))
 }
 
@@ -172,7 +172,7 @@
         Case { name: "a third cut off", is_cut: |i| i % 3 == 0, rate: READER_RATE + FALLBACK_RATE },
         Case {
             name: "the readers cut off",
-            is_cut: |i| i < READERS,
+            is_cut: |i| i < READER_COUNT,
             rate: READER_RATE + FALLBACK_RATE,
         },
         Case { name: "all cut off", is_cut: |_| true, rate: READER_RATE + FALLBACK_RATE },
@@ -190,7 +190,7 @@
             let calls = world.calls as f64;
             println!("{}, {gateways} gateways: {calls} calls", case.name);
             // The first readers, and those that replace them, start with one call each.
-            let first_calls = READERS as u64 * (1 + seconds / REPLACED_AFTER_S);
+            let first_calls = READER_COUNT as u64 * (1 + seconds / REPLACED_AFTER_S);
             let most = case.rate * seconds as f64 + first_calls as f64;
             assert!(
                 calls <= most,
@@ -209,10 +209,10 @@
 #[test]
 fn backoff_grows_with_each_failure_and_resets() {
     let mut backoff = Backoff::default();
-    let delays: Vec<u128> = (0..5).map(|_| backoff.failed(0.0).as_millis()).collect();
+    let delays: Vec<u128> = (0..5).map(|_| backoff.record_failure(0.0).as_millis()).collect();
     assert_eq!(delays, [300, 600, 1_000, 1_000, 1_000]);
-    backoff.answered();
-    assert_eq!(backoff.failed(1.0).as_millis(), 180, "delays have jitter");
+    backoff.record_success();
+    assert_eq!(backoff.record_failure(1.0).as_millis(), 180, "delays have jitter");
 }
 
 proptest! {
@@ -223,14 +223,14 @@
     #[test]
     fn a_bounded_number_of_gateways_reads_the_store(unanswered in prop::collection::vec(any::<bool>(), 1..100)) {
         let ids: Vec<String> = (0..unanswered.len()).map(|i| format!("p{i:03}")).collect();
-        let readers: Vec<Reader<'_>> = ids.iter().zip(&unanswered)
-            .map(|(process, turned_away)| Reader { turned_away: *turned_away, process })
+        let readers: Vec<ReaderCandidate<'_>> = ids.iter().zip(&unanswered)
+            .map(|(process, store_unreachable)| ReaderCandidate { store_unreachable: *store_unreachable, process })
             .collect();
-        let rank_of = |own: &Reader<'_>| rank(*own, readers.iter().copied().filter(|r| r != own));
-        let reading: Vec<&Reader<'_>> = readers.iter().filter(|own| rank_of(own).is_some()).collect();
-        prop_assert_eq!(reading.len(), readers.len().min(READERS));
-        if unanswered.iter().filter(|unanswered| !**unanswered).count() >= READERS {
-            prop_assert!(reading.iter().all(|r| !r.turned_away));
+        let rank_of = |own: &ReaderCandidate<'_>| reader_rank(*own, readers.iter().copied().filter(|r| r != own));
+        let reading: Vec<&ReaderCandidate<'_>> = readers.iter().filter(|own| rank_of(own).is_some()).collect();
+        prop_assert_eq!(reading.len(), readers.len().min(READER_COUNT));
+        if unanswered.iter().filter(|unanswered| !**unanswered).count() >= READER_COUNT {
+            prop_assert!(reading.iter().all(|r| !r.store_unreachable));
         }
         let mut ranks: Vec<usize> = readers.iter().filter_map(rank_of).collect();
         ranks.sort_unstable();
--- a/tests/gateway_removal_facts.rs
+++ b/tests/gateway_removal_facts.rs
@@ -10,9 +10,10 @@
 };
 
 use tackhollow::gateway::{
-    board::{Board, Noted},
+    board::{Board, MissingRowChange},
     decide::{
-        ExposureTerms, Knowledge, Removal, RolloutOrder, RowCount, Side, TrueClock, have_lapsed,
+        ExposureTerms, PeerCorrectedClock, Removal, RolloutOrder, RowCount, SyncPoint,
+        VersionGroup, rows_lapsed,
     },
     model::{Upstream, UpstreamPhase},
 };
@@ -49,7 +50,7 @@
         Case { name: "the only one", of_service: rows(1, 1), of_all: rows(1, 1), lapsed: true },
     ];
     for case in cases {
-        assert_eq!(have_lapsed(case.of_service, case.of_all), case.lapsed, "{}", case.name);
+        assert_eq!(rows_lapsed(case.of_service, case.of_all), case.lapsed, "{}", case.name);
     }
 }
 
@@ -101,23 +102,23 @@
     ];
     for Case { name, last_seen, store_back, until } in cases {
         let removal = Removal { revision: 3, last_seen, store_back, lapsed: true };
-        assert_eq!(removal.expected_until(), until, "{name}");
+        assert_eq!(removal.grace_period_end(), until, "{name}");
     }
 }
 
 /// Returns a board with the upstreams of two services, last known to be current `known_ago` before
 /// `start`.
 fn board(start: Instant, known_ago: Duration) -> Board {
-    let mut board = Board::new(TrueClock::new(start, 0), start);
+    let mut board = Board::new(PeerCorrectedClock::new(start, 0), start);
     board.store_clock.note(STORE_START, start);
     let as_of = STORE_START - known_ago.as_millis() as u64;
-    board.upstreams_knowledge = Some(Knowledge { position: 5, as_of });
+    board.upstreams_knowledge = Some(SyncPoint { position: 5, as_of });
     for (service, count) in [("app", 2), ("llm", 6)] {
         for n in 0..count {
             let id = format!("{service}-{n}");
             let described = upstream(UpstreamPhase::Ready, 1);
             let described = Upstream { id, service: service.to_owned(), ..described };
-            board.describe_at(described, 5, start);
+            board.apply_description_at(described, 5, start);
         }
     }
     board
@@ -178,7 +179,7 @@
             let removal =
                 Removal { revision, last_seen: known, store_back: STORE_START, lapsed: false };
             let noted = board.note_missing(&(*id).to_owned(), removal, start);
-            assert!(matches!(noted, Noted::New(_)), "{noted:?}");
+            assert!(matches!(noted, MissingRowChange::New(_)), "{noted:?}");
         }
         board.mark_lapsed_rows();
         for id in case.removed {
@@ -198,12 +199,12 @@
     let removal = Removal { revision: 6, last_seen: 49_400, store_back: 49_800, lapsed: true };
     let id = "llm-0".to_owned();
     let until = |board: &Board| board.upstreams["llm-0"].missing.expect("missing").until;
-    assert!(matches!(board.note_missing(&id, removal, start), Noted::New(_)));
+    assert!(matches!(board.note_missing(&id, removal, start), MissingRowChange::New(_)));
     let first = until(&board);
     assert_eq!(first, start + ms(1_300));
     for later in [ms(300), ms(900)] {
         let reported = Removal { store_back: removal.store_back + 400, ..removal };
-        assert_eq!(board.note_missing(&id, reported, start + later), Noted::Known);
+        assert_eq!(board.note_missing(&id, reported, start + later), MissingRowChange::Known);
         assert_eq!(until(&board), first, "reported {later:?} later");
     }
 }
@@ -216,24 +217,39 @@
         name: &'static str,
         /// Upstreams of the earlier version that take work.
         earlier_ready: usize,
-        side: Side,
+        version_group: VersionGroup,
         versions: &'static [&'static str],
     }
     let cases = [
-        Case { name: "both take work", earlier_ready: 2, side: Side::Earlier, versions: &["v1"] },
-        Case { name: "one is leaving", earlier_ready: 1, side: Side::Earlier, versions: &["v1"] },
-        Case { name: "all are leaving", earlier_ready: 0, side: Side::Earlier, versions: &["v2"] },
+        Case {
+            name: "both take work",
+            earlier_ready: 2,
+            version_group: VersionGroup::Earlier,
+            versions: &["v1"],
+        },
+        Case {
+            name: "one is leaving",
+            earlier_ready: 1,
+            version_group: VersionGroup::Earlier,
+            versions: &["v1"],
+        },
+        Case {
+            name: "all are leaving",
+            earlier_ready: 0,
+            version_group: VersionGroup::Earlier,
+            versions: &["v2"],
+        },
         Case {
             name: "requests for the new version",
             earlier_ready: 0,
-            side: Side::New,
+            version_group: VersionGroup::New,
             versions: &["v2"],
         },
     ];
     let terms = ExposureTerms { share: 0.1, slack: 50.0 };
     for case in cases {
         let start = Instant::now();
-        let mut board = Board::new(TrueClock::new(start, 0), start);
+        let mut board = Board::new(PeerCorrectedClock::new(start, 0), start);
         board.store_clock.note(STORE_START, start);
         for (n, version) in ["v1", "v1", "v2", "v2"].into_iter().enumerate() {
             let phase = match version == "v1" && n >= case.earlier_ready {
@@ -241,7 +257,7 @@
                 false => UpstreamPhase::Ready,
             };
             let (id, version) = (format!("i-{n}"), version.to_owned());
-            board.describe(Upstream { id, version, ..upstream(phase, 1) }, start);
+            board.apply_description(Upstream { id, version, ..upstream(phase, 1) }, start);
         }
         let order = RolloutOrder {
             service: "app".to_owned(),
@@ -250,8 +266,13 @@
             revision: 9,
             started: STORE_START,
         };
-        board.rollouts.take_order(order, true, 0.5);
-        let open = board.open_to("app", Some(case.side), terms, start + ms(5_000));
+        board.rollouts.add_order(order, true, 0.5);
+        let open = board.upstreams_for_version_group(
+            "app",
+            Some(case.version_group),
+            terms,
+            start + ms(5_000),
+        );
         let versions: BTreeSet<&str> = open.iter().map(|v| v.upstream.version.as_str()).collect();
         assert_eq!(versions, case.versions.iter().copied().collect(), "{}", case.name);
     }
--- a/tests/gateway_rollouts.rs
+++ b/tests/gateway_rollouts.rs
@@ -6,8 +6,8 @@
 use proptest::prelude::*;
 use rollouts::{Disabled, Disturbance, Fault, Outcome, Scenario, Version, simulate};
 use tackhollow::gateway::decide::{
-    AnswerCount, AnswerRow, Exposing, ExposureTerms, Member, RolloutBook, RolloutEnd, RolloutOrder,
-    RolloutReport, RouteKey, SentRow, Side,
+    AnswerCount, AnswerRow, ExposureContext, ExposureTerms, GatewayCounts, RolloutEnd,
+    RolloutOrder, RolloutReport, RolloutTracker, RouteKey, SentRow, VersionGroup,
 };
 
 /// Runs of each kind of version at each site, unless `ROLLOUT_SEEDS` sets another number.
@@ -232,8 +232,8 @@
         end,
         sent: vec![SentRow(route, grown * 10, grown)],
         answers: vec![
-            AnswerRow(0, route, Side::New, count(grown, grown / 3)),
-            AnswerRow(0, route, Side::Earlier, count(grown * 9, grown / 9)),
+            AnswerRow(0, route, VersionGroup::New, count(grown, grown / 3)),
+            AnswerRow(0, route, VersionGroup::Earlier, count(grown * 9, grown / 9)),
         ],
     }
 }
@@ -249,10 +249,10 @@
     )
 }
 
-fn merge_all(reports: &[(u8, RolloutReport)]) -> RolloutBook {
-    let mut tracker = RolloutBook::default();
+fn merge_all(reports: &[(u8, RolloutReport)]) -> RolloutTracker {
+    let mut tracker = RolloutTracker::default();
     for (from, report) in reports {
-        tracker.hear(&format!("gateway-{from}"), report, true, 0.5);
+        tracker.merge_report(&format!("gateway-{from}"), report, true, 0.5);
     }
     tracker
 }
@@ -275,11 +275,11 @@
         fastrand::Rng::with_seed(shuffle).shuffle(&mut shuffled);
         let (mut a, mut b) = (merge_all(&reports), merge_all(&shuffled));
         for now in [1_500, 6_000, 9_000] {
-            let causes = |tracker: &mut RolloutBook| -> Vec<&str> {
+            let causes = |tracker: &mut RolloutTracker| -> Vec<&str> {
                 tracker.roll_back(now, |_| true).iter().map(|c| c.cause).collect()
             };
             prop_assert_eq!(causes(&mut a), causes(&mut b));
-            let views = |tracker: &RolloutBook| tracker.views(now).collect::<Vec<_>>();
+            let views = |tracker: &RolloutTracker| tracker.views(now).collect::<Vec<_>>();
             prop_assert_eq!(views(&a), views(&b));
         }
         let ended = reports.iter().filter(|(_, r)| r.order.revision == newest);
@@ -299,15 +299,15 @@
     ) {
         let mut rng = fastrand::Rng::with_seed(seed);
         let terms = ExposureTerms { share: 0.1, slack: 50.0 };
-        let mut tracker = RolloutBook::default();
-        tracker.take_order(order(1), true, rng.f64());
-        let member = Member { heard: heard.min(members), members };
+        let mut tracker = RolloutTracker::default();
+        tracker.add_order(order(1), true, rng.f64());
+        let member = GatewayCounts { heard: heard.min(members), members };
         let mut exposed = 0.0;
         for n in 0..requests {
             let now = 1_000 + u64::from(n);
-            let cx = Exposing { terms, member, now, draw: rng.f64() };
-            let side = tracker.choose_side("llm", RouteKey::new("plan"), &cx);
-            exposed += f64::from(u8::from(side == Some(Side::New)));
+            let cx = ExposureContext { terms, member, now, draw: rng.f64() };
+            let version_group = tracker.choose_version_group("llm", RouteKey::new("plan"), &cx);
+            exposed += f64::from(u8::from(version_group == Some(VersionGroup::New)));
         }
         let slack = terms.slack / members as f64;
         prop_assert!(exposed <= terms.share * f64::from(requests) + slack + 1.0);
--- a/tests/gateway_signal_books.rs
+++ b/tests/gateway_signal_books.rs
@@ -12,9 +12,12 @@
 use proptest::prelude::*;
 use tackhollow::gateway::{
     board::Board,
-    decide::{Holder, HolderAnswer, LimitBook, LimitMembers, LimitNotice, RestBook, TrueClock},
+    decide::{
+        CooldownTracker, GrantAnswer, LimitAnnouncement, LimitMembers, PeerCorrectedClock,
+        RateLimiter, ShareHolder,
+    },
     model::{Lifetime, Upstream, UpstreamPhase},
-    peering::{Datagram, LimitQuestion},
+    peering::{Datagram, LimitShareMessage},
 };
 use upstreams::upstream;
 
@@ -25,15 +28,15 @@
 }
 
 fn alone() -> LimitMembers {
-    LimitMembers::new(Holder::new("a"), std::iter::empty(), true)
+    LimitMembers::new(ShareHolder::new("a"), std::iter::empty(), true)
 }
 
 /// Announcements at different times. A gateway may learn of them in any order, repeatedly.
-fn notices() -> impl Strategy<Value = Vec<LimitNotice>> {
+fn notices() -> impl Strategy<Value = Vec<LimitAnnouncement>> {
     let rates = prop::collection::vec(prop::option::of(0.1..50.0_f64), 1..12);
     rates.prop_map(|rates| {
         let notices = rates.into_iter().zip(1..);
-        notices.map(|(rate, at)| LimitNotice { rate, at }).collect()
+        notices.map(|(rate, at)| LimitAnnouncement { rate, at }).collect()
     })
 }
 
@@ -44,7 +47,7 @@
         order in prop::collection::vec(0..12_usize, 0..40),
     ) {
         let now = Instant::now();
-        let mut book = LimitBook::default();
+        let mut book = RateLimiter::default();
         for n in order {
             book.learn(upstream_lifetime(), notices[n % notices.len()], now);
         }
@@ -58,13 +61,13 @@
     #[test]
     fn the_shares_of_a_limit_add_up_to_it(rate in 0.05..500.0_f64, gateways in 1..60_usize) {
         let now = Instant::now();
-        let names: Vec<Holder> =
-            (0..gateways).map(|n| Holder::new(&format!("host-{n}"))).collect();
+        let names: Vec<ShareHolder> =
+            (0..gateways).map(|n| ShareHolder::new(&format!("host-{n}"))).collect();
         let mut sent = 0;
         for own in &names {
             let others = names.iter().copied();
-            let mut book = LimitBook::default();
-            book.learn(upstream_lifetime(), LimitNotice { rate: Some(rate), at: 1 }, now);
+            let mut book = RateLimiter::default();
+            book.learn(upstream_lifetime(), LimitAnnouncement { rate: Some(rate), at: 1 }, now);
             book.divide(LimitMembers::new(*own, others, true), now);
             // With constant demand, each gateway sends its whole share.
             for ms in 0..8_000 {
@@ -83,16 +86,16 @@
         requests in prop::collection::vec((0..5_000_u64, 0..4_000_u64), 1..12),
         look in 0..10_000_u64,
     ) {
-        let (start, mut book) = (Instant::now(), RestBook::default());
+        let (start, mut book) = (Instant::now(), CooldownTracker::default());
         let mut until = start;
         for (at, rest) in requests {
             let (at, rest) = (start + Duration::from_millis(at), Duration::from_millis(rest));
-            book.learn(upstream_lifetime(), rest, at);
+            book.extend_cooldown(upstream_lifetime(), rest, at);
             until = until.max(at + rest);
         }
         let look = start + Duration::from_millis(look);
         let left = until.saturating_duration_since(look);
-        prop_assert_eq!(book.left(upstream_lifetime(), look), left);
+        prop_assert_eq!(book.remaining(upstream_lifetime(), look), left);
     }
 }
 
@@ -100,8 +103,8 @@
 fn a_share_that_moves_to_another_gateway_is_not_spent_twice() {
     let now = Instant::now();
     let limited = || {
-        let mut book = LimitBook::default();
-        book.learn(upstream_lifetime(), LimitNotice { rate: Some(0.5), at: 1 }, now);
+        let mut book = RateLimiter::default();
+        book.learn(upstream_lifetime(), LimitAnnouncement { rate: Some(0.5), at: 1 }, now);
         book
     };
     let (mut first, mut next) = (limited(), limited());
@@ -116,10 +119,10 @@
 #[test]
 fn a_grant_uses_up_the_share_of_the_holder() {
     let now = Instant::now();
-    let limit = |book: &mut LimitBook| {
-        book.learn(upstream_lifetime(), LimitNotice { rate: Some(0.5), at: 1 }, now);
+    let limit = |book: &mut RateLimiter| {
+        book.learn(upstream_lifetime(), LimitAnnouncement { rate: Some(0.5), at: 1 }, now);
     };
-    let mut holder = LimitBook::default();
+    let mut holder = RateLimiter::default();
     assert!(holder.grant(upstream_lifetime(), now).is_err(), "no limit is known");
     limit(&mut holder);
     holder.divide(alone(), now);
@@ -127,14 +130,16 @@
     let later = now + 2 * SECOND;
     assert_eq!(holder.grant(upstream_lifetime(), later), Ok(()));
     assert!(!holder.take(upstream_lifetime(), later), "the token was granted");
-    let mut asker = LimitBook::default();
+    let mut asker = RateLimiter::default();
     limit(&mut asker);
-    asker
-        .divide(LimitMembers::new(Holder::new("b"), std::iter::once(Holder::new("a")), false), now);
-    let to_ask = |book: &LimitBook, at| book.holders_to_ask(upstream_lifetime(), at).count();
+    asker.divide(
+        LimitMembers::new(ShareHolder::new("b"), std::iter::once(ShareHolder::new("a")), false),
+        now,
+    );
+    let to_ask = |book: &RateLimiter, at| book.holders_to_ask(upstream_lifetime(), at).count();
     assert_eq!(to_ask(&asker, now), 1);
-    let denied = HolderAnswer::Denied(2 * SECOND);
-    asker.note_answer(upstream_lifetime(), Holder::new("a"), denied, now);
+    let denied = GrantAnswer::Denied(2 * SECOND);
+    asker.note_answer(upstream_lifetime(), ShareHolder::new("a"), denied, now);
     assert_eq!(to_ask(&asker, now + SECOND), 0, "not before the holder's wait is over");
     assert_eq!(to_ask(&asker, later), 1);
 }
@@ -142,9 +147,9 @@
 #[test]
 fn limit_questions_survive_encoding() {
     let questions = [
-        LimitQuestion::Ask { number: 7, upstream: upstream_lifetime() },
-        LimitQuestion::Answer { number: 7, wait: None },
-        LimitQuestion::Answer { number: u64::MAX, wait: Some(SECOND) },
+        LimitShareMessage::Ask { number: 7, upstream: upstream_lifetime() },
+        LimitShareMessage::Answer { number: 7, wait: None },
+        LimitShareMessage::Answer { number: u64::MAX, wait: Some(SECOND) },
     ];
     for question in questions {
         let datagram = question.encode().expect("a question encodes");
@@ -157,8 +162,8 @@
 #[test]
 fn a_limit_of_zero_still_allows_occasional_requests() {
     let now = Instant::now();
-    let mut book = LimitBook::default();
-    book.learn(upstream_lifetime(), LimitNotice { rate: Some(0.0), at: 1 }, now);
+    let mut book = RateLimiter::default();
+    book.learn(upstream_lifetime(), LimitAnnouncement { rate: Some(0.0), at: 1 }, now);
     book.divide(alone(), now);
     assert!(!book.take(upstream_lifetime(), now + 10 * SECOND));
     assert!(book.take(upstream_lifetime(), now + 21 * SECOND));
@@ -170,8 +175,8 @@
     const UPSTREAMS: u64 = 1_000;
     let now = Instant::now();
     let lifetime = |n| Lifetime::new("i", Some(n));
-    let notice = |rate, at| LimitNotice { rate: Some(rate), at };
-    let mut book = LimitBook::default();
+    let notice = |rate, at| LimitAnnouncement { rate: Some(rate), at };
+    let mut book = RateLimiter::default();
     for n in 0..UPSTREAMS {
         book.learn(lifetime(n), notice(1.0, 1), now);
     }
@@ -192,7 +197,7 @@
 fn many_leaving_upstreams_are_reported_in_turns() {
     const UPSTREAMS: u64 = 1_000;
     let now = Instant::now();
-    let mut board = Board::new(TrueClock::new(now, 0), now);
+    let mut board = Board::new(PeerCorrectedClock::new(now, 0), now);
     for n in 0..UPSTREAMS {
         board.note_leaving(Lifetime::new("i", Some(n)), now, now);
     }
@@ -208,8 +213,8 @@
 #[test]
 fn a_limit_far_above_the_number_of_gateways_is_divided() {
     let now = Instant::now();
-    let mut book = LimitBook::default();
-    book.learn(upstream_lifetime(), LimitNotice { rate: Some(f64::MAX), at: 1 }, now);
+    let mut book = RateLimiter::default();
+    book.learn(upstream_lifetime(), LimitAnnouncement { rate: Some(f64::MAX), at: 1 }, now);
     book.divide(alone(), now);
     assert!(book.take(upstream_lifetime(), now + SECOND));
 }
@@ -218,9 +223,9 @@
 #[test]
 fn signals_of_removed_upstreams_are_forgotten_by_gateways_that_report_to_each_other() {
     let start = Instant::now();
-    let new = || (LimitBook::default(), Board::new(TrueClock::new(start, 0), start));
+    let new = || (RateLimiter::default(), Board::new(PeerCorrectedClock::new(start, 0), start));
     let mut gateways = [new(), new(), new()];
-    gateways[0].0.learn(upstream_lifetime(), LimitNotice { rate: Some(1.0), at: 1 }, start);
+    gateways[0].0.learn(upstream_lifetime(), LimitAnnouncement { rate: Some(1.0), at: 1 }, start);
     gateways[0].1.note_leaving(upstream_lifetime(), start, start);
     let mut rng = fastrand::Rng::with_seed(38);
     for tick in 0..3_000_u32 {
@@ -240,11 +245,14 @@
         checking.0.retain(|_| false, now);
         checking.1.forget_lifetimes(now);
         if tick == 30 {
-            assert!(gateways.iter().all(|g| g.0.limited() == 1), "all gateways know the limit");
+            assert!(
+                gateways.iter().all(|g| g.0.count_limited() == 1),
+                "all gateways know the limit"
+            );
         }
     }
     for (limits, board) in &gateways {
-        assert_eq!(limits.limited(), 0);
+        assert_eq!(limits.count_limited(), 0);
         assert_eq!(board.leaving.since(upstream_lifetime()), None);
     }
 }
@@ -268,8 +276,8 @@
     ];
     let now = Instant::now();
     for case in cases {
-        let mut board = Board::new(TrueClock::new(now, 0), now);
-        board.describe(ready(), now);
+        let mut board = Board::new(PeerCorrectedClock::new(now, 0), now);
+        board.apply_description(ready(), now);
         assert!(
             board.note_leaving(upstream_lifetime(), now, now),
             "{}: first announcement",
@@ -286,7 +294,7 @@
             board.forget_lifetimes(later);
             ready()
         });
-        board.describe(row, later);
+        board.apply_description(row, later);
         let view = &board.upstreams["i-1"];
         assert_eq!(view.takes_work(), case.takes_work, "{}", case.name);
         assert!(!view.is_last_resort(later), "{}: more than a second later", case.name);
@@ -309,11 +317,11 @@
     ];
     let now = Instant::now();
     for case in cases {
-        let mut board = Board::new(TrueClock::new(now, 0), now);
-        board.describe(upstream(UpstreamPhase::Ready, 1), now);
-        board.rests.learn(upstream_lifetime(), case.rest, now);
-        board.limits.learn(upstream_lifetime(), LimitNotice { rate: case.rate, at: 1 }, now);
+        let mut board = Board::new(PeerCorrectedClock::new(now, 0), now);
+        board.apply_description(upstream(UpstreamPhase::Ready, 1), now);
+        board.rests.extend_cooldown(upstream_lifetime(), case.rest, now);
+        board.limits.learn(upstream_lifetime(), LimitAnnouncement { rate: case.rate, at: 1 }, now);
         board.divide_limits("a", false, now);
-        assert_eq!(board.hold_off_of("app", now), case.wait, "{}", case.name);
+        assert_eq!(board.service_hold_off("app", now), case.wait, "{}", case.name);
     }
 }
--- a/tests/gateway_speed.rs
+++ b/tests/gateway_speed.rs
@@ -4,8 +4,8 @@
 
 use proptest::prelude::*;
 use tackhollow::gateway::decide::{
-    Busy, EngineSpeed, FirstToken, LoadMeter, NeedPeak, RequestCost, ServiceLoad, SpeedModel, busy,
-    engines_needed, mean_cost,
+    EngineSpeed, FirstTokenSample, LoadMeter, NeedPeak, Occupancy, RequestCost, ServiceLoad,
+    SpeedModel, engines_needed, mean_cost, occupancy,
 };
 
 /// Number of requests within which the speed must be learnt from the default.
@@ -19,7 +19,7 @@
         let running = f64::from(i * 31 % 17);
         let delay = if outlier > 0 && i % outlier == 0 { 1.0 } else { 0.0 };
         let took = Duration::from_secs_f64(actual.first_token(tokens, running) + delay);
-        model.note_first_token(FirstToken { tokens, running, took });
+        model.note_first_token(FirstTokenSample { tokens, running, took });
     }
 }
 
@@ -105,15 +105,15 @@
     for _ in 0..seconds * rate {
         now += gap;
         meter.request(cost.tokens as u32, now);
-        meter.ended(cost.held, now);
+        meter.ended(cost.slot_seconds, now);
     }
     now
 }
 
 #[test]
 fn the_requirement_follows_the_rate_quickly_and_the_cost_slowly() {
-    let normal = RequestCost { tokens: 3_000.0, held: 0.5 };
-    let cold = RequestCost { tokens: 6_000.0, held: 1.5 };
+    let normal = RequestCost { tokens: 3_000.0, slot_seconds: 0.5 };
+    let cold = RequestCost { tokens: 6_000.0, slot_seconds: 1.5 };
     struct Case {
         name: &'static str,
         rate: u32,
@@ -147,7 +147,7 @@
         let need = |meter: &LoadMeter, now| {
             let cost = meter.cost(now).expect("requests have ended");
             let load = ServiceLoad { rate: meter.rate(now), cost };
-            engines_needed(busy(load, EngineSpeed::default()), 24, 0.0)
+            engines_needed(occupancy(load, EngineSpeed::default()), 24, 0.0)
         };
         let before = need(&meter, now);
         let now = load(&mut meter, now, case.seconds, case.rate, case.cost);
@@ -160,7 +160,7 @@
 fn the_end_of_a_load_is_detected_and_a_pause_is_not_an_end() {
     let start = Instant::now();
     let mut meter = LoadMeter::new(start);
-    let cost = RequestCost { tokens: 100.0, held: 0.1 };
+    let cost = RequestCost { tokens: 100.0, slot_seconds: 0.1 };
     let now = load(&mut meter, start, 20, 50, cost);
     assert!(meter.rate(now + Duration::from_millis(200)) > 40.0, "after ten mean intervals");
     assert_eq!(meter.rate(now + Duration::from_millis(600)), 0.0, "after thirty mean intervals");
@@ -192,7 +192,7 @@
     for case in cases {
         let load = |(rate, tokens): &(f64, f64)| ServiceLoad {
             rate: *rate,
-            cost: RequestCost { tokens: *tokens, held: 1.0 },
+            cost: RequestCost { tokens: *tokens, slot_seconds: 1.0 },
         };
         let loads = case.reports.iter().map(load);
         assert_eq!(mean_cost(loads).map(|c| c.tokens), case.tokens, "{}", case.name);
@@ -205,7 +205,7 @@
 #[test]
 fn the_rate_is_correct_within_a_second_of_the_start() {
     let start = Instant::now();
-    let cost = RequestCost { tokens: 100.0, held: 0.1 };
+    let cost = RequestCost { tokens: 100.0, slot_seconds: 0.1 };
     let mut meter = LoadMeter::new(start);
     let now = load(&mut meter, start, 1, 50, cost);
     let first = meter.rate(now);
@@ -232,7 +232,7 @@
     let mut model = SpeedModel::default();
     for _ in 0..2_000 {
         let took = Duration::from_millis(60);
-        model.note_first_token(FirstToken { tokens: 0.0, running: 1.0, took });
+        model.note_first_token(FirstTokenSample { tokens: 0.0, running: 1.0, took });
     }
     let speed = model.speed();
     assert!((speed.first_token(0.0, 1.0) - 0.06).abs() < 0.005, "{speed:?}");
@@ -243,12 +243,12 @@
 
 #[test]
 fn the_relative_margin_shrinks_with_the_load() {
-    let reading = |reading: f64| Busy { reading, slots: 0.0 };
+    let reading = |reading: f64| Occupancy { reading, slots: 0.0 };
     let share = |busy: f64| engines_needed(reading(busy), 24, 1.5) / busy;
-    assert_eq!(engines_needed(Busy::default(), 24, 1.5), 0.0);
+    assert_eq!(engines_needed(Occupancy::default(), 24, 1.5), 0.0);
     assert!((1.49..1.51).contains(&share(9.0)), "{}", share(9.0));
     assert!((1.24..1.26).contains(&share(36.0)), "{}", share(36.0));
     // Slots of nine engines serve many requests, whose number varies less.
-    let slots = engines_needed(Busy { reading: 0.0, slots: 216.0 }, 24, 1.5);
+    let slots = engines_needed(Occupancy { reading: 0.0, slots: 216.0 }, 24, 1.5);
     assert!((9.9..9.95).contains(&slots), "{slots}");
 }
--- a/tests/gateway_upstream_signals.rs
+++ b/tests/gateway_upstream_signals.rs
@@ -12,7 +12,10 @@
 use serde_json::json;
 use support::{
     gateways::{Call, Site},
-    signals::{BORNE_DURING_REST, DRAINED_AFTER, arrivals, call, keep_calling, most_during_a_rest},
+    signals::{
+        LEAVING_HOLDS_AFTER, TOLERATED_DURING_COOLDOWN, arrivals, call, call_repeatedly,
+        max_during_cooldown,
+    },
     wait_until,
 };
 
@@ -36,7 +39,7 @@
     let leaving: Vec<String> = (1..=case.leaving).map(|n| format!("i-{n}")).collect();
     leaving.iter().for_each(|id| site.signal(id, &[("server-leaving", "1")]));
     let from = site.emulator_now();
-    let got = keep_calling(&site, CALLERS, case.stream, || {
+    let got = call_repeatedly(&site, CALLERS, case.stream, || {
         thread::sleep(Duration::from_secs(3));
         if case.rows_lapse {
             leaving.iter().for_each(|id| drop(site.control("/remove", &json!({ "id": id }))));
@@ -49,7 +52,7 @@
     });
     let seen = site.seen();
     for id in &leaving {
-        let late = arrivals(&seen, id).iter().filter(|a| a.at > from + DRAINED_AFTER).count();
+        let late = arrivals(&seen, id).iter().filter(|a| a.at > from + LEAVING_HOLDS_AFTER).count();
         assert_eq!(late, 0, "{}: requests that reached {id} after its announcement", case.name);
     }
     let failed = got.iter().filter(|g| !g.is_served());
@@ -94,11 +97,12 @@
     let site = Site::start(1, engines, plain);
     site.signal("i-1", &[("retry-after", case.retry_after)]);
     site.behave(Some("i-1"), "full");
-    let got = keep_calling(&site, CALLERS, case.stream, || thread::sleep(Duration::from_secs(7)));
+    let got =
+        call_repeatedly(&site, CALLERS, case.stream, || thread::sleep(Duration::from_secs(7)));
     let arrivals = arrivals(&site.seen(), "i-1");
     assert!(!arrivals.is_empty(), "{}: no request reached it", case.name);
-    let most = most_during_a_rest(&arrivals, case.cooldown);
-    assert!(most <= BORNE_DURING_REST, "{}: {most} requests during a cooldown", case.name);
+    let most = max_during_cooldown(&arrivals, case.cooldown);
+    assert!(most <= TOLERATED_DURING_COOLDOWN, "{}: {most} requests during a cooldown", case.name);
     let refused: Vec<_> = got.iter().filter(|g| !g.is_served()).collect();
     assert!(case.upstreams == 1 || refused.is_empty(), "{}: {refused:?}", case.name);
     for refused in refused {
@@ -164,7 +168,7 @@
     });
     let before = site.seen();
     wait_until("the other gateway knows the signals", || signals(1) == expected);
-    thread::sleep(DRAINED_AFTER);
+    thread::sleep(LEAVING_HOLDS_AFTER);
     for n in 0..20 {
         let answer = call(false, n).send(site.gateways[1].callers);
         assert!(answer.is_some_and(|a| a.status == StatusCode::OK));
--- a/tests/limits/fleet.rs
+++ b/tests/limits/fleet.rs
@@ -4,7 +4,9 @@
 use std::time::{Duration, Instant};
 
 use tackhollow::gateway::{
-    decide::{GRANT_RETRY, Holder, HolderAnswer, LimitBook, LimitMembers, LimitNotice},
+    decide::{
+        GRANT_RETRY_DELAY, GrantAnswer, LimitAnnouncement, LimitMembers, RateLimiter, ShareHolder,
+    },
     model::Lifetime,
 };
 
@@ -75,8 +77,8 @@
 }
 
 struct Gateway {
-    name: Holder,
-    limits: LimitBook,
+    name: ShareHolder,
+    limits: RateLimiter,
     buckets: Vec<Bucket>,
     started: Instant,
 }
@@ -124,12 +126,12 @@
     }
 
     fn gateway(&self, n: usize, now: Instant) -> Gateway {
-        let mut limits = LimitBook::default();
+        let mut limits = RateLimiter::default();
         for upstream in &self.upstreams {
-            limits.learn(*upstream, LimitNotice { rate: Some(self.load.rate), at: 1 }, now);
+            limits.learn(*upstream, LimitAnnouncement { rate: Some(self.load.rate), at: 1 }, now);
         }
         let buckets = vec![Bucket { tokens: 0.0, at: now }; self.upstreams.len()];
-        Gateway { name: Holder::new(&format!("host-{n}")), limits, buckets, started: now }
+        Gateway { name: ShareHolder::new(&format!("host-{n}")), limits, buckets, started: now }
     }
 
     /// Runs the simulation.
@@ -189,7 +191,7 @@
     fn divide(&mut self, now: Instant) {
         for n in 0..self.gateways.len() {
             let known = (0..self.gateways.len()).filter(|o| *o != n && self.knows(n, *o, now));
-            let known: Vec<Holder> = known.map(|o| self.gateways[o].name).collect();
+            let known: Vec<ShareHolder> = known.map(|o| self.gateways[o].name).collect();
             let up = now.saturating_duration_since(self.gateways[n].started);
             let share = (known.len() + 1) as f64 / self.gateways.len() as f64;
             let knows_most = up >= PEER_EXPIRY || share >= KNOWN_SHARE;
@@ -242,8 +244,9 @@
         if self.gateways[n].limits.take(upstream, now) {
             return true;
         }
-        let by_holder = |holder: &Holder| self.gateways.iter().position(|g| g.name == *holder);
-        let holders: Vec<Holder> = self.gateways[n].limits.holders_to_ask(upstream, now).collect();
+        let by_holder = |holder: &ShareHolder| self.gateways.iter().position(|g| g.name == *holder);
+        let holders: Vec<ShareHolder> =
+            self.gateways[n].limits.holders_to_ask(upstream, now).collect();
         let is_heard = |other: usize| self.is_cut(n, now) == self.is_cut(other, now);
         let found = holders.iter().find_map(|h| Some((*h, by_holder(h).filter(|o| is_heard(*o))?)));
         let Some((holder, other)) = found else {
@@ -252,12 +255,12 @@
         let [request_lost, answer_lost] = [(); 2].map(|()| self.losses.f64() < self.load.lost);
         let granted = (!request_lost).then(|| self.gateways[other].limits.grant(upstream, now));
         let answer = match granted.filter(|_| !answer_lost) {
-            Some(Ok(())) => HolderAnswer::Granted,
-            Some(Err(wait)) => HolderAnswer::Denied(wait),
-            None => HolderAnswer::Denied(GRANT_RETRY),
+            Some(Ok(())) => GrantAnswer::Granted,
+            Some(Err(wait)) => GrantAnswer::Denied(wait),
+            None => GrantAnswer::Denied(GRANT_RETRY_DELAY),
         };
         self.gateways[n].limits.note_answer(upstream, holder, answer, now);
-        answer == HolderAnswer::Granted
+        answer == GrantAnswer::Granted
     }
 
     fn take_equal_share(&mut self, n: usize, upstream: usize, now: Instant) -> bool {
--- a/tests/platform_entries.rs
+++ b/tests/platform_entries.rs
@@ -12,7 +12,7 @@
 };
 use tackhollow::{
     gateway::{
-        decide::Kept,
+        decide::DurableState,
         peering::{Datagram, UpstreamSnapshot},
     },
     platform::{decode_configuration, decode_upstream},
@@ -143,7 +143,7 @@
         prop_assert!(decode_configuration(&bytes).is_err());
         drop(Datagram::decode(&bytes));
         drop(UpstreamSnapshot::decode(&bytes));
-        drop(ciborium::from_reader::<Kept, _>(&bytes[..]));
+        drop(ciborium::from_reader::<DurableState, _>(&bytes[..]));
     }
 
     /// Published documents with some bytes changed: an error, or a message whose
--- a/tests/readers/mod.rs
+++ b/tests/readers/mod.rs
@@ -3,7 +3,9 @@
 
 use std::time::{Duration, Instant};
 
-use tackhollow::gateway::decide::{Knowledge, Reader, StoreClock, Turn, turn};
+use tackhollow::gateway::decide::{
+    ReadAction, ReaderCandidate, StoreClock, SyncPoint, next_read_action,
+};
 
 /// Step of simulated time, in milliseconds.
 const STEP_MS: u64 = 10;
@@ -73,9 +75,9 @@
 struct Gateway {
     id: String,
     plan: Plan,
-    knowledge: Knowledge,
+    knowledge: SyncPoint,
     clock: StoreClock,
-    turned_away: bool,
+    store_unreachable: bool,
     calls: Vec<Call>,
     next_call: u64,
     /// When each gateway was last heard, and whether the store did not answer it then.
@@ -121,9 +123,9 @@
             Gateway {
                 id: format!("gateway-{i:03}"),
                 plan,
-                knowledge: Knowledge { position: 1, as_of: 0 },
+                knowledge: SyncPoint { position: 1, as_of: 0 },
                 clock,
-                turned_away: false,
+                store_unreachable: false,
                 calls: Vec::new(),
                 next_call: rng.u64(..200),
                 heard: vec![Some((0, false)); count],
@@ -197,12 +199,12 @@
         let (overdue, open): (Vec<Call>, Vec<Call>) =
             open.into_iter().partition(|c| now > c.until + TIMEOUT_MARGIN_MS);
         gateway.calls = open;
-        gateway.turned_away |= !overdue.is_empty();
+        gateway.store_unreachable |= !overdue.is_empty();
         self.deliveries.extend(overdue.iter().map(|_| (now, i, Delivery::Failure)));
         for call in answered {
             self.deliveries.push((now, i, Delivery::Answer { upto: revision }));
-            gateway.turned_away = false;
-            gateway.knowledge.advance(Knowledge { position: revision, as_of: now });
+            gateway.store_unreachable = false;
+            gateway.knowledge.advance(SyncPoint { position: revision, as_of: now });
             gateway.clock.note(now, instant);
             if revision > call.after {
                 gateway.next_call = now;
@@ -217,25 +219,28 @@
             return;
         }
         let gateway = &self.gateways[i];
-        let own = Reader { turned_away: gateway.turned_away, process: &gateway.id };
+        let own =
+            ReaderCandidate { store_unreachable: gateway.store_unreachable, process: &gateway.id };
         let silence = self.silence();
         let others = || {
             let heard = gateway.heard.iter().enumerate().filter(move |(n, _)| *n != i);
             let heard = heard.filter_map(|(n, heard)| heard.map(|h| (n, h)));
             let recent = heard.filter(move |(_, (at, _))| now - at < silence);
-            recent
-                .map(|(n, (_, turned_away))| Reader { turned_away, process: &self.gateways[n].id })
+            recent.map(|(n, (_, store_unreachable))| ReaderCandidate {
+                store_unreachable,
+                process: &self.gateways[n].id,
+            })
         };
         let believed =
             gateway.clock.now(self.instant()).expect("every gateway has a clock reading");
         let age = self.ages(i).0;
-        let (wait, next) = match turn(own, others, age, believed) {
-            Turn::Wait(wait) => {
+        let (wait, next) = match next_read_action(own, others, age, believed) {
+            ReadAction::LongPoll(wait) => {
                 let wait = wait.as_millis() as u64;
                 (Some(wait), now + wait + NEXT_CALL_MARGIN_MS)
             }
-            Turn::StandIn(pause) => (Some(0), now + pause.as_millis() as u64),
-            Turn::Later(pause) => (None, now + pause.as_millis() as u64),
+            ReadAction::FallbackRead(pause) => (Some(0), now + pause.as_millis() as u64),
+            ReadAction::Recheck(pause) => (None, now + pause.as_millis() as u64),
         };
         let refused = within(&self.outages.refusing, now);
         let gateway = &mut self.gateways[i];
@@ -245,7 +250,7 @@
         };
         self.calls += 1;
         if refused {
-            gateway.turned_away = true;
+            gateway.store_unreachable = true;
             self.deliveries.push((now, i, Delivery::Failure));
             return;
         }
@@ -268,7 +273,7 @@
         self.gateways[i].next_heartbeat = self.now + HEARTBEAT_MS;
         let instant = self.instant();
         let gateway = &self.gateways[i];
-        let (sent, turned_away) = (gateway.knowledge, gateway.turned_away);
+        let (sent, store_unreachable) = (gateway.knowledge, gateway.store_unreachable);
         let reading = gateway.clock.now(instant).expect("every gateway has a clock reading");
         let others: Vec<usize> = (0..self.gateways.len()).filter(|n| *n != i).collect();
         for n in self.rng.choose_multiple(others, FAN_OUT) {
@@ -277,7 +282,7 @@
             }
             self.deliveries.push((self.now, n, Delivery::Heartbeat { from: i }));
             let other = &mut self.gateways[n];
-            other.heard[i] = Some((self.now, turned_away));
+            other.heard[i] = Some((self.now, store_unreachable));
             other.clock.note(reading, instant);
             other.knowledge.advance(sent);
         }
--- a/tests/removals/mod.rs
+++ b/tests/removals/mod.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     readers::{Delivery, Outages, Plan, World},
-    support::directory::{Bench, row_of},
+    support::directory::{DirectoryHarness, row_of},
 };
 
 /// Step of simulated time, in milliseconds.
@@ -216,7 +216,7 @@
 }
 
 struct Fleet {
-    gateways: Vec<Bench>,
+    gateways: Vec<DirectoryHarness>,
     /// For each gateway that others are ahead of: the position that it knows, and since when it has
     /// heard of others that are ahead.
     behind: Vec<Option<(u64, u64)>>,
@@ -228,14 +228,14 @@
 impl Fleet {
     /// Creates gateways that know all upstreams.
     fn new(scenario: &Scenario) -> Self {
-        let first = Bench::new();
-        let mut gateways: Vec<Bench> =
-            (1..scenario.gateways).map(|_| Bench::beside(&first)).collect();
+        let first = DirectoryHarness::new();
+        let mut gateways: Vec<DirectoryHarness> =
+            (1..scenario.gateways).map(|_| DirectoryHarness::beside(&first)).collect();
         gateways.push(first);
         let start = Instant::now();
         let row =
             |u: &ModelUpstream| Change::Written(row_of(u.service, &u.id, UpstreamPhase::Ready, 1));
-        Bench::pass_time(&mut gateways, start);
+        DirectoryHarness::pass_time(&mut gateways, start);
         for gateway in &mut gateways {
             gateway.gateway.board.borrow_mut().store_clock.note(0, start);
             let changes = scenario.upstreams.iter().map(row).collect();
@@ -247,7 +247,7 @@
 
     fn pass_time(&mut self, now: u64) {
         let now = self.start + Duration::from_millis(now);
-        Bench::pass_time(&mut self.gateways, now);
+        DirectoryHarness::pass_time(&mut self.gateways, now);
     }
 
     fn deliver(
@@ -259,9 +259,9 @@
     ) {
         let instant = self.start + Duration::from_millis(now);
         match delivery {
-            Delivery::Failure => note_store(&self.gateways[to], false, instant),
+            Delivery::Failure => record_store_outcome(&self.gateways[to], false, instant),
             Delivery::Answer { upto } => {
-                note_store(&self.gateways[to], true, instant);
+                record_store_outcome(&self.gateways[to], true, instant);
                 let gateway = &mut self.gateways[to];
                 gateway.gateway.board.borrow_mut().store_clock.note(now, instant);
                 let changes = (gateway.position() + 1..=upto).map(|revision| {
@@ -312,7 +312,12 @@
         Measured { without_upstream_ms: worst.without_upstream_ms.min(STEP_MS), ..worst }
     }
 
-    fn measure_gateway(&self, gateway: &Bench, scenario: &Scenario, now: u64) -> Measured {
+    fn measure_gateway(
+        &self,
+        gateway: &DirectoryHarness,
+        scenario: &Scenario,
+        now: u64,
+    ) -> Measured {
         let instant = self.start + Duration::from_millis(now);
         let board = gateway.gateway.board.borrow();
         let takes_work = |id: &str| board.upstreams.get(id).is_some_and(|v| v.takes_work());
@@ -359,13 +364,13 @@
 }
 
 /// Records whether the store answered a gateway.
-fn note_store(gateway: &Bench, answered: bool, now: Instant) {
+fn record_store_outcome(gateway: &DirectoryHarness, answered: bool, now: Instant) {
     let mut board = gateway.gateway.board.borrow_mut();
     board.steadiness.note(answered, now);
     board.store = match (board.store, answered) {
-        (StoreState::Away(_), true) => StoreState::Returned(now),
-        (StoreState::Away(since), false) => StoreState::Away(since),
-        (_, false) => StoreState::Away(now),
+        (StoreState::OutageSince(_), true) => StoreState::RecoveredSince(now),
+        (StoreState::OutageSince(since), false) => StoreState::OutageSince(since),
+        (_, false) => StoreState::OutageSince(now),
         (state, true) => state,
     };
 }
--- a/tests/rollouts/mod.rs
+++ b/tests/rollouts/mod.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use tackhollow::gateway::decide::{
-    Doubt, Exposing, ExposureTerms, Member, RolloutBook, RolloutEnd, RolloutOrder, RolloutReport,
-    RolloutStage, RouteKey, Side,
+    ExposureContext, ExposureTerms, GatewayCounts, RolloutBlocker, RolloutEnd, RolloutOrder,
+    RolloutReport, RolloutStage, RolloutTracker, RouteKey, VersionGroup,
 };
 
 /// Step of simulated time, in milliseconds.
@@ -112,7 +112,7 @@
     /// How the roll-out ended, and when in milliseconds.
     pub end: Option<(RolloutEnd, u64)>,
     /// What kept all traffic from moving when the version was rolled back.
-    pub blocker: Option<Doubt>,
+    pub blocker: Option<RolloutBlocker>,
     /// Requests still running at the earlier version when it stopped.
     pub cut_off: u64,
 }
@@ -134,7 +134,7 @@
     at: u64,
     gateway: usize,
     route: usize,
-    side: Side,
+    version_group: VersionGroup,
     took: Option<f64>,
 }
 
@@ -154,10 +154,10 @@
     scenario: Scenario,
     rng: fastrand::Rng,
     now: u64,
-    trackers: Vec<RolloutBook>,
+    trackers: Vec<RolloutTracker>,
     answers: BTreeMap<u64, Vec<Answer>>,
     messages: BTreeMap<u64, Vec<Message>>,
-    running_at_earlier: i64,
+    running_on_earlier_versions: i64,
     idle_since: Option<u64>,
     confirmed_at: Option<u64>,
     /// When requests were recently sent to the new version, and in total.
@@ -177,7 +177,7 @@
             revision: 7,
             started: 0,
         };
-        let mut trackers = vec![RolloutBook::default(); scenario.gateways];
+        let mut trackers = vec![RolloutTracker::default(); scenario.gateways];
         // Typical times were learnt before the order, from requests spread over all gateways.
         for tracker in &mut trackers {
             for (route, (_, _, mean)) in ROUTES.iter().enumerate() {
@@ -189,7 +189,7 @@
         }
         // Only a few gateways read the order; the others learn of it by heartbeats.
         for tracker in trackers.iter_mut().take(3) {
-            tracker.take_order(order.clone(), true, rng.f64());
+            tracker.add_order(order.clone(), true, rng.f64());
         }
         Self {
             scenario,
@@ -198,7 +198,7 @@
             trackers,
             answers: BTreeMap::new(),
             messages: BTreeMap::new(),
-            running_at_earlier: 0,
+            running_on_earlier_versions: 0,
             idle_since: None,
             confirmed_at: None,
             recent_new: VecDeque::new(),
@@ -250,11 +250,11 @@
             true => ExposureTerms { share: 1.0, slack: f64::INFINITY },
             false => TERMS,
         };
-        let member = Member { heard, members: self.scenario.gateways };
-        let cx = Exposing { terms, member, now: self.now, draw: self.rng.f64() };
-        let side = self.trackers[gateway].choose_side(SERVICE, key(route), &cx);
-        let new = side == Some(Side::New) && self.now >= READY_AT;
-        let side = if new { Side::New } else { Side::Earlier };
+        let member = GatewayCounts { heard, members: self.scenario.gateways };
+        let cx = ExposureContext { terms, member, now: self.now, draw: self.rng.f64() };
+        let version_group = self.trackers[gateway].choose_version_group(SERVICE, key(route), &cx);
+        let new = version_group == Some(VersionGroup::New) && self.now >= READY_AT;
+        let version_group = if new { VersionGroup::New } else { VersionGroup::Earlier };
         self.recent_all.push_back(self.now);
         if self.now < self.end() {
             self.outcome.arrived += 1;
@@ -264,9 +264,9 @@
             self.outcome.last_sent = self.now;
             self.recent_new.push_back(self.now);
         } else {
-            self.running_at_earlier += 1;
+            self.running_on_earlier_versions += 1;
         }
-        self.answer(gateway, route, side, burst);
+        self.answer(gateway, route, version_group, burst);
     }
 
     fn share_of_new(&mut self) -> f64 {
@@ -293,7 +293,7 @@
         }
     }
 
-    fn answer(&mut self, gateway: usize, route: usize, side: Side, burst: bool) {
+    fn answer(&mut self, gateway: usize, route: usize, version_group: VersionGroup, burst: bool) {
         let (_, failing, mean) = ROUTES[route];
         let mut ms = draw_time(&mut self.rng, mean) * if burst { 2.0 } else { 1.0 };
         let mut fails = self.rng.f64() < failing;
@@ -303,7 +303,7 @@
             fails |= self.rng.f64() < share;
         }
         let mut faulty = false;
-        if side == Side::New {
+        if version_group == VersionGroup::New {
             match self.fault(route) {
                 Some(Fault::Fails(share)) => faulty = self.rng.f64() < share,
                 Some(Fault::Slow(times)) => {
@@ -320,18 +320,24 @@
         fails |= faulty && !matches!(self.fault(route), Some(Fault::Slow(_)));
         let at = self.now + ms as u64;
         let took = (!fails).then_some(ms / 1_000.0);
-        self.answers.entry(at).or_default().push(Answer { at, gateway, route, side, took });
+        self.answers.entry(at).or_default().push(Answer {
+            at,
+            gateway,
+            route,
+            version_group,
+            took,
+        });
     }
 
     fn deliver_answers(&mut self) {
         let later = self.answers.split_off(&(self.now + 1));
         for answer in std::mem::replace(&mut self.answers, later).into_values().flatten() {
-            let Answer { at, gateway, route, side, took } = answer;
-            if side == Side::Earlier {
-                self.running_at_earlier -= 1;
+            let Answer { at, gateway, route, version_group, took } = answer;
+            if version_group == VersionGroup::Earlier {
+                self.running_on_earlier_versions -= 1;
             }
             let service = SERVICE.to_owned();
-            self.trackers[gateway].note_answer(&service, key(route), Some(side), took, at);
+            self.trackers[gateway].note_answer(&service, key(route), Some(version_group), took, at);
         }
     }
 
@@ -341,7 +347,12 @@
             let chance = self.rng.f64();
             for report in &message.reports {
                 let process = format!("gateway-{}", message.from);
-                self.trackers[message.to].hear(&process, report, message.at < 1_000, chance);
+                self.trackers[message.to].merge_report(
+                    &process,
+                    report,
+                    message.at < 1_000,
+                    chance,
+                );
             }
         }
         let cut = self.scenario.disturbance == Disturbance::Cut && self.is_disturbed();
@@ -391,16 +402,16 @@
             holder.end(SERVICE, 7, RolloutEnd::Completed);
             if self.outcome.end.is_none() {
                 self.outcome.end = Some((RolloutEnd::Completed, at));
-                self.outcome.cut_off = self.running_at_earlier.max(0) as u64;
+                self.outcome.cut_off = self.running_on_earlier_versions.max(0) as u64;
             }
             return;
         }
         match view.stage {
             RolloutStage::Ended(RolloutEnd::RolledBack) => {
                 self.outcome.end.get_or_insert((RolloutEnd::RolledBack, now));
-                self.outcome.blocker.get_or_insert(view.doubt);
+                self.outcome.blocker.get_or_insert(view.blocker);
             }
-            RolloutStage::Moving(1.0) if self.running_at_earlier == 0 => {
+            RolloutStage::Moving(1.0) if self.running_on_earlier_versions == 0 => {
                 let since = *self.idle_since.get_or_insert(now);
                 if now - since >= IDLE_BEFORE_COMPLETION && self.confirmed_at.is_none() {
                     self.confirmed_at = Some(now + CONFIRM_DELAY);
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -14,9 +14,9 @@
 use tackhollow::{
     gateway::{
         decide::{
-            Candidate, CapacityInput, EngineSpeed, FirstToken, Fleet, LoadMeter, Need, NeedMeter,
-            OrderBook, OrderKey, OrderState, PaceInput, ServiceLoad, SpeedModel, busy,
-            choose_engine, engines_needed, plan_engines,
+            Candidate, CapacityInput, EngineOrders, EngineSpeed, FirstTokenSample, Fleet,
+            LoadMeter, Need, NeedMeter, OrderKey, OrderPacerInput, OrderState, ServiceLoad,
+            SpeedModel, choose_engine, engines_needed, occupancy, plan_engines,
         },
         model::Scaling,
     },
@@ -128,7 +128,7 @@
     model: SpeedModel,
     meter: LoadMeter,
     needs: NeedMeter,
-    orders: OrderBook,
+    orders: EngineOrders,
     outcome: Outcome,
 }
 
@@ -154,7 +154,7 @@
             model: SpeedModel::default(),
             meter: LoadMeter::new(started),
             needs: NeedMeter::new(BOOT),
-            orders: OrderBook::default(),
+            orders: EngineOrders::default(),
             outcome: Outcome::default(),
         }
     }
@@ -217,11 +217,17 @@
             Policy::LearntSpeed => {
                 let cost = self.meter.cost(self.instant());
                 let speed = self.model.speed();
-                EngineSpeed { held: cost.map_or(speed.held, |c| c.held), ..speed }
-            }
-            Policy::FixedSpeed(tokens) => {
-                EngineSpeed { base: 0.0, per_token: 1.0 / tokens, per_running: 0.002, held: 1.9 }
+                EngineSpeed {
+                    slot_seconds: cost.map_or(speed.slot_seconds, |c| c.slot_seconds),
+                    ..speed
+                }
             }
+            Policy::FixedSpeed(tokens) => EngineSpeed {
+                base: 0.0,
+                per_token: 1.0 / tokens,
+                per_running: 0.002,
+                slot_seconds: 1.9,
+            },
         }
     }
 
@@ -238,7 +244,7 @@
                 failures: 0.0,
                 remote: false,
                 connected: true,
-                chance: self.rng.f64(),
+                jitter_sample: self.rng.f64(),
             })
             .collect();
         if let Some(best) = choose_engine(&candidates, self.speed()) {
@@ -269,7 +275,7 @@
             // here.
             if running < f64::from(properties.slots) && first_token_at >= request.sent {
                 let took = Duration::from_secs_f64(first_token_at - request.sent);
-                self.model.note_first_token(FirstToken { tokens, running, took });
+                self.model.note_first_token(FirstTokenSample { tokens, running, took });
             }
             self.meter.ended(now - request.sent, at);
             if first_token_at - request.arrived <= self.scenario.objective.as_secs_f64() {
@@ -283,13 +289,13 @@
         let (now, speed, slots) = (self.instant(), self.speed(), self.scenario.engines.slots);
         if self.policy == Policy::LearntSpeed {
             let cost = self.meter.cost(now).unwrap_or_default();
-            let busy = busy(ServiceLoad { rate: self.meter.rate(now), cost }, speed);
-            return self.needs.note(engines_needed(busy, slots, self.capacity.safety), now);
+            let busy = occupancy(ServiceLoad { rate: self.meter.rate(now), cost }, speed);
+            return self.needs.record_need(engines_needed(busy, slots, self.capacity.safety), now);
         }
         let running: usize =
             self.engines.iter().map(|e| e.request_count().min(slots as usize)).sum();
         let reading = self.meter.rate(now) * self.scenario.prompt_tokens * speed.per_token / 0.55;
-        self.needs.note(reading + running as f64 / (f64::from(slots) * 0.5), now)
+        self.needs.record_need(reading + running as f64 / (f64::from(slots) * 0.5), now)
     }
 
     fn plan(&mut self) {
@@ -303,7 +309,7 @@
         };
         let mut fleets: BTreeMap<DataCentre, Fleet> =
             (0..DATA_CENTRES.len()).map(|p| (DATA_CENTRES[p].to_owned(), self.fleet(p))).collect();
-        self.orders.expect(SERVICE, &mut fleets, BOOT, self.instant());
+        self.orders.add_expected_engines(SERVICE, &mut fleets, BOOT, self.instant());
         let input = CapacityInput {
             need,
             scaling: &scaling,
@@ -342,21 +348,21 @@
         let (service, data_centre) =
             (SERVICE.to_owned(), DATA_CENTRES[data_centre_index].to_owned());
         let key = OrderKey { service, data_centre, reclaimable };
-        let input = PaceInput {
-            wished: desired,
+        let input = OrderPacerInput {
+            target_count: desired,
             serving,
             reclaimable,
-            dry,
+            reclaimable_unavailable: dry,
             idle: false,
             load_known: true,
             boot: scaling.boot,
         };
-        let Some(count) = self.orders.next(&key, &input, now) else {
+        let Some(count) = self.orders.next_order_count(&key, &input, now) else {
             return;
         };
         let accepted = !(dry && reclaimable);
         let state = if accepted { OrderState::Accepted } else { OrderState::Refused };
-        self.orders.answered(&key, count, state);
+        self.orders.record_order_result(&key, count, state);
         if accepted {
             self.apply_order(data_centre_index, reclaimable, count as usize);
         }
--- a/tests/soak/removals.rs
+++ b/tests/soak/removals.rs
@@ -8,7 +8,7 @@
 
 use crate::support::{
     gateways::Site,
-    signals::{DRAINED_AFTER, arrivals},
+    signals::{LEAVING_HOLDS_AFTER, arrivals},
 };
 
 /// For how long the store is silent.
@@ -27,7 +27,7 @@
         let removed = outage(site, std::slice::from_ref(leaving));
         thread::sleep(LOOK);
         let late = arrivals(&site.seen(), leaving);
-        let late = late.iter().filter(|a| a.at > removed + DRAINED_AFTER).count();
+        let late = late.iter().filter(|a| a.at > removed + LEAVING_HOLDS_AFTER).count();
         if late > 0 {
             broken.push(format!("{leaving} left and got {late} requests too late"));
         }
--- a/tests/soak/signals.rs
+++ b/tests/soak/signals.rs
@@ -6,8 +6,8 @@
 
 use super::callers::Sent;
 use crate::support::signals::{
-    Arrival, BORNE_DURING_REST, DRAINED_AFTER, HOLDS_AFTER, REST_HOLDS_AFTER, arrivals, borne,
-    most_in_a_span,
+    Arrival, COOLDOWN_HOLDS_AFTER, LEAVING_HOLDS_AFTER, LIMIT_HOLDS_AFTER,
+    TOLERATED_DURING_COOLDOWN, arrivals, max_in_window, tolerated_in_window,
 };
 
 /// Time from an answer until its gateway is held to what it says. The answer may take a while
@@ -80,14 +80,17 @@
             };
             let counted: Vec<Arrival> =
                 during.iter().filter(|(g, a)| told(*g, a.at)).map(|(_, a)| a.clone()).collect();
-            (most_in_a_span(&counted, spell.from + HOLDS_AFTER, until), borne(rate))
+            (
+                max_in_window(&counted, spell.from + LIMIT_HOLDS_AFTER, until),
+                tolerated_in_window(rate),
+            )
         }
         Asked::Leaving => {
             let told = |gateway: usize, late: &Arrival| {
                 during.iter().find(|(g, a)| {
                     *g == gateway
                         && a.status > 0
-                        && a.at + TOLD_AFTER + DRAINED_AFTER < late.at
+                        && a.at + TOLD_AFTER + LEAVING_HOLDS_AFTER < late.at
                         && steady(*g, a.at, late.at)
                 })
             };
@@ -100,13 +103,13 @@
         }
         Asked::Rest(rest) => {
             let during_rest = |(gateway, asked): &(usize, Arrival)| {
-                let span = asked.at + REST_HOLDS_AFTER..asked.at + rest;
+                let span = asked.at + COOLDOWN_HOLDS_AFTER..asked.at + rest;
                 let of_gateway =
                     during.iter().filter(|(g, a)| g == gateway && span.contains(&a.at));
                 of_gateway.filter(|(g, a)| steady(*g, asked.at, a.at)).count()
             };
             let asked = during.iter().filter(|(_, a)| a.status == 503);
-            (asked.map(during_rest).max().unwrap_or_default(), BORNE_DURING_REST)
+            (asked.map(during_rest).max().unwrap_or_default(), TOLERATED_DURING_COOLDOWN)
         }
     };
     (got > most).then(|| format!("{spell:?}: {got} requests, {most} are borne"))
--- a/tests/support/crashes.rs
+++ b/tests/support/crashes.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use tackhollow::gateway::{
-    decide::{Break, CrashBook},
+    decide::{CrashTracker, InterruptedAttempt},
     model::{Lifetime, RequestDigest},
 };
 
@@ -23,11 +23,11 @@
 pub const SETTLED: Duration = Duration::from_secs(1);
 
 /// Records that upstream `at` crashed under these requests of one customer.
-pub fn crash(tracker: &mut CrashBook, at: u64, running: &[u64], now: Instant) {
-    let attempt = |n: &u64| Break {
+pub fn crash(tracker: &mut CrashTracker, at: u64, running: &[u64], now: Instant) {
+    let attempt = |n: &u64| InterruptedAttempt {
         digest: request(*n),
         customer: "temple".to_owned(),
         lifetime: upstream(at),
     };
-    running.iter().map(attempt).for_each(|a| tracker.note_end(a, now));
+    running.iter().map(attempt).for_each(|a| tracker.record_crash(a, now));
 }
--- a/tests/support/directory.rs
+++ b/tests/support/directory.rs
@@ -9,7 +9,7 @@
         Gateway,
         board::Board,
         controllers::Directory,
-        decide::TrueClock,
+        decide::PeerCorrectedClock,
         model::UpstreamPhase,
         peering::{RecentChanges, UpstreamSnapshot},
         telemetry::Journal,
@@ -33,7 +33,7 @@
 "#;
 
 /// A directory controller and the gateway that it belongs to.
-pub struct Bench {
+pub struct DirectoryHarness {
     /// Simulated time; `None` for real time.
     now: Option<Instant>,
     stakker: Rc<RefCell<Stakker>>,
@@ -41,7 +41,7 @@
     directory: ActorOwn<Directory>,
 }
 
-impl Bench {
+impl DirectoryHarness {
     pub fn new() -> Self {
         Self::on(Rc::new(RefCell::new(Stakker::new(Instant::now()))))
     }
@@ -58,7 +58,7 @@
         fs::write(&file, SETTINGS).expect("the settings are written");
         let settings = GatewaySettings::load(&file).expect("the settings are valid");
         let journal = Journal::new("gateway-1.1".to_owned(), io::sink());
-        let board = Board::new(TrueClock::new(now, 0), now);
+        let board = Board::new(PeerCorrectedClock::new(now, 0), now);
         let gateway = Rc::new(Gateway::new(settings, 1, board, journal));
         let mut s = stakker.borrow_mut();
         let directory = actor!(s, Directory::init(gateway.clone()), ret_nop!());
@@ -79,22 +79,22 @@
     }
 
     pub fn feed(&mut self, feed: Feed) {
-        call!([self.directory], changes(feed));
+        call!([self.directory], apply_feed(feed));
         self.run();
     }
 
     pub fn snapshot(&mut self, snapshot: Snapshot) {
-        call!([self.directory], snapshot(snapshot));
+        call!([self.directory], apply_snapshot(snapshot));
         self.run();
     }
 
     pub fn hear(&mut self, recent: RecentChanges) {
-        call!([self.directory], follow(recent));
+        call!([self.directory], apply_peer_changes(recent));
         self.run();
     }
 
     pub fn copy(&mut self, snapshot: UpstreamSnapshot) {
-        call!([self.directory], copy(snapshot));
+        call!([self.directory], apply_peer_snapshot(snapshot));
         self.run();
     }
 
--- a/tests/support/signals.rs
+++ b/tests/support/signals.rs
@@ -22,14 +22,14 @@
 /// Tolerated requests in a window: a multiple of the limit, and requests on top of it.
 const TOLERATED: (f64, f64) = (1.5, 5.0);
 /// Time from the first response that announces a limit until gateways must keep it.
-pub const HOLDS_AFTER: Duration = Duration::from_secs(3);
+pub const LIMIT_HOLDS_AFTER: Duration = Duration::from_secs(3);
 
 /// Time from a response that asks for a cooldown until gateways must keep it.
-pub const REST_HOLDS_AFTER: Duration = Duration::from_millis(500);
+pub const COOLDOWN_HOLDS_AFTER: Duration = Duration::from_millis(500);
 /// Tolerated requests during a cooldown: some are in flight when it is asked for.
-pub const BORNE_DURING_REST: usize = 2;
+pub const TOLERATED_DURING_COOLDOWN: usize = 2;
 /// Time from a response that announces that the upstream is leaving until it must get no requests.
-pub const DRAINED_AFTER: Duration = Duration::from_secs(2);
+pub const LEAVING_HOLDS_AFTER: Duration = Duration::from_secs(2);
 
 /// A request that reached an upstream.
 #[derive(Clone, Debug)]
@@ -43,7 +43,7 @@
 
 /// Result of a call.
 #[derive(Clone, Debug)]
-pub struct Got {
+pub struct CallResult {
     /// Index of the gateway that was called.
     pub gateway: usize,
     /// Status of the response; `None` if the call failed without one.
@@ -53,7 +53,7 @@
     pub retry_after: Option<f64>,
 }
 
-impl Got {
+impl CallResult {
     pub fn is_served(&self) -> bool {
         self.status == Some(StatusCode::OK)
     }
@@ -66,7 +66,12 @@
 }
 
 /// Calls every gateway from `callers` concurrent callers while `until` runs; returns the results.
-pub fn keep_calling(site: &Site, callers: usize, stream: bool, until: impl FnOnce()) -> Vec<Got> {
+pub fn call_repeatedly(
+    site: &Site,
+    callers: usize,
+    stream: bool,
+    until: impl FnOnce(),
+) -> Vec<CallResult> {
     let (stop, sent, got) = (AtomicBool::new(false), AtomicUsize::new(0), Mutex::new(Vec::new()));
     thread::scope(|s| {
         for n in 0..site.gateways.len() * callers {
@@ -87,11 +92,11 @@
     got.into_inner().expect("callers do not panic")
 }
 
-fn send_call(site: &Site, gateway: usize, call: &Call) -> Got {
+fn send_call(site: &Site, gateway: usize, call: &Call) -> CallResult {
     let began = Instant::now();
     let answer = call.send(site.gateways[gateway].callers);
     let retry_after = answer.as_ref().and_then(|a| a.header("retry-after").parse().ok());
-    Got { gateway, status: answer.map(|a| a.status), took: began.elapsed(), retry_after }
+    CallResult { gateway, status: answer.map(|a| a.status), took: began.elapsed(), retry_after }
 }
 
 impl Site {
@@ -124,7 +129,7 @@
 }
 
 /// Returns the most requests in any window over which a limit is counted, between two times.
-pub fn most_in_a_span(arrivals: &[Arrival], from: Duration, until: Duration) -> usize {
+pub fn max_in_window(arrivals: &[Arrival], from: Duration, until: Duration) -> usize {
     let counted: Vec<Duration> =
         arrivals.iter().map(|a| a.at).filter(|at| (from..until).contains(at)).collect();
     let in_window =
@@ -134,15 +139,15 @@
 
 /// Returns the number of requests in a window that are tolerated with a limit of `rate` requests a
 /// second.
-pub fn borne(rate: f64) -> usize {
+pub fn tolerated_in_window(rate: f64) -> usize {
     (TOLERATED.0 * rate * WINDOW.as_secs_f64() + TOLERATED.1) as usize
 }
 
 /// Returns the most requests that reached an upstream during one of the cooldowns that it asked for
 /// by rejecting requests.
-pub fn most_during_a_rest(arrivals: &[Arrival], rest: Duration) -> usize {
+pub fn max_during_cooldown(arrivals: &[Arrival], rest: Duration) -> usize {
     let during = |asked: &Arrival| {
-        let span = asked.at + REST_HOLDS_AFTER..asked.at + rest;
+        let span = asked.at + COOLDOWN_HOLDS_AFTER..asked.at + rest;
         arrivals.iter().filter(|a| span.contains(&a.at)).count()
     };
     let asked = arrivals.iter().filter(|a| a.status == 503);
