--- a/src/gateway/request/admit.rs
+++ b/src/gateway/request/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: which route, which customer, within which quota.
+//! Admission control: matches the route, authenticates the customer and charges the quota.
 
 use std::{rc::Rc, time::Instant};
 
@@ -14,46 +14,46 @@
     platform::RequestHead,
 };
 
-/// A request that may go to an upstream.
+/// A request that was admitted and may be sent to an upstream.
 #[derive(Clone, Debug)]
 pub struct Admitted {
-    /// Configuration under which it was admitted.
+    /// Configuration in force at admission; the request keeps it until it ends.
     pub configuration: Rc<Configuration>,
-    /// Its route.
+    /// Route that matches the request's host and path.
     pub route: Route,
-    /// The customer, unless the route is open.
+    /// Customer that the API key belongs to; `None` on open routes and where no keys are needed.
     pub customer: Option<CustomerName>,
-    /// Rank; 0 is the most urgent.
+    /// Priority, of the customer if it has one, else of the route; 0 is the most urgent.
     pub priority: u8,
-    /// Service that runs it.
+    /// Service that was drawn among the targets of the route.
     pub service: ServiceName,
-    /// What it took from the customer's quota.
+    /// Tokens charged to the customer's quota; 0 without a customer.
     pub tokens: u64,
 }
 
-/// Admits a request, and takes its tokens from the customer's quota.
+/// Admits a request and charges its tokens to the customer's quota.
 ///
 /// # Errors
 ///
-/// Fails with the refusal that the caller gets.
+/// Returns the refusal to answer the caller with.
 pub fn admit(gateway: &Gateway, head: &RequestHead, now: Instant) -> Result<Admitted, Refusal> {
     let mut board = gateway.board.borrow_mut();
     if !board.knows_crashes(now) {
         return Err(Refusal::NoConfiguration);
     }
     let configuration = board.configuration.clone().ok_or(Refusal::NoConfiguration)?;
-    // A refusal for good needs the newest configuration: keys and routes may have been
-    // added that this process cannot know of. What it knows is served meanwhile.
+    // A final refusal requires the newest configuration, because routes or keys that this process
+    // has not read yet may have been added. Routes and keys that it knows are served meanwhile.
     let behind = board.configuration_is_behind(now);
     let old = board.is_old(Followed::Configuration, now);
-    let for_good = |refusal| match (behind, old) {
+    let final_refusal = |refusal| match (behind, old) {
         (true, _) => Refusal::NoConfiguration,
         (false, true) => Refusal::ConfigurationOld,
         (false, false) => refusal,
     };
     let route = configuration.route(&head.host, &head.path);
-    let route = route.ok_or_else(|| for_good(Refusal::NoRoute))?.clone();
-    let customer = customer(&configuration, &route, head.key.as_deref()).map_err(for_good)?;
+    let route = route.ok_or_else(|| final_refusal(Refusal::NoRoute))?.clone();
+    let customer = customer(&configuration, &route, head.key.as_deref()).map_err(final_refusal)?;
     let tokens = customer.map_or(0, |c| tokens(c, head));
     if let Some(customer) = customer {
         let taken = take_quota(&mut board, customer, tokens, now);
@@ -97,7 +97,7 @@
     board.quotas.take(&customer.name, quota, tokens, share, now)
 }
 
-/// Logs why a request lies beyond its customer's quota.
+/// Logs the state of a customer's quota that refused a request, and returns the refusal.
 fn quota_used_up(
     gateway: &Gateway,
     head: &RequestHead,
@@ -120,7 +120,7 @@
     Refusal::QuotaUsedUp(used_up.wait)
 }
 
-/// Draws one of the route's services by weight.
+/// Draws one of the route's services at random, by weight; the first one if all weights are 0.
 fn draw_service(route: &Route) -> Option<ServiceName> {
     let total: u32 = route.targets.iter().map(|(_, weight)| weight).sum();
     if total == 0 {
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt at an upstream.
+//! A single attempt to send a request to an upstream.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -19,10 +19,10 @@
     platform::{self, Attempt, RequestHead},
 };
 
-/// What is sent to an upstream, each time anew.
+/// The request as it is sent to upstreams; every attempt builds its own copy.
 #[derive(Clone, Debug)]
-pub struct Outgoing {
-    /// What the head says.
+pub struct OutgoingRequest {
+    /// Decoded head of the caller's request.
     pub head: RequestHead,
     method: Method,
     uri: Uri,
@@ -30,9 +30,9 @@
     body: Bytes,
 }
 
-impl Outgoing {
-    /// Creates what is sent from the caller's request. Method, path, query and
-    /// body stay as they are.
+impl OutgoingRequest {
+    /// Creates the outgoing request from the caller's. Method, path, query and body stay
+    /// unchanged; hop-by-hop headers are removed.
     pub fn new(parts: Parts, head: RequestHead, body: Bytes) -> Self {
         let mut headers = parts.headers;
         platform::strip_hop_headers(&mut headers);
@@ -41,7 +41,8 @@
         Self { head, method: parts.method, uri, headers, body }
     }
 
-    /// Returns the digest of what `customer` asks for.
+    /// Returns the digest of customer, method, host, target and body, which is equal for copies of
+    /// a request.
     pub fn digest(&self, customer: Option<&str>) -> RequestDigest {
         let target = self.uri.path_and_query().map_or("/", |p| p.as_str());
         let customer = customer.unwrap_or_default();
@@ -61,40 +62,40 @@
     }
 }
 
-/// Cause of an attempt's end: the upstream lost the request when it started again.
-pub const STARTED_AGAIN: &str = "upstream_started_again";
+/// Failure cause: the upstream restarted and lost the request.
+pub const UPSTREAM_RESTARTED: &str = "upstream_started_again";
 
-/// Cause of an attempt's end: no connection could be opened.
+/// Failure cause: no connection to the upstream could be opened.
 pub const UNREACHABLE: &str = "unreachable";
 
-/// How an attempt ended.
+/// Result of an attempt.
 #[derive(Debug)]
 pub enum AttemptEnd {
-    /// The upstream answers; the connection delivers the rest of the answer.
+    /// The head of the answer arrived; its body follows on the leased connection.
     Answer(Response<Incoming>, Lease),
-    /// Nothing was sent.
+    /// Nothing was sent, for this cause.
     Unsent(&'static str),
-    /// The upstream says that it did not run the request.
+    /// The upstream states that it did not run the request.
     NotExecuted(StatusCode),
-    /// No answer came; it may have run.
+    /// No valid answer arrived, for this cause; the request may have run.
     Broken(&'static str),
 }
 
-/// Sends a request to an upstream and waits for the head of its answer.
+/// Sends a request to an upstream and waits for the head of the answer.
 pub async fn attempt(
     gateway: &Rc<Gateway>,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     admitted: &Admitted,
     selected: &Selected,
     resume_after: Option<&str>,
     deadline: Instant,
 ) -> AttemptEnd {
     let (id, lifetime) = (&selected.id, selected.lifetime);
-    let Some(room) = gateway.find_room(lifetime).await else {
+    let Some(permit) = gateway.find_permit(lifetime).await else {
         return AttemptEnd::Unsent("rate_limited");
     };
-    let most = selected.most_connections;
-    let acquired = gateway.pool.acquire(selected.lifetime, selected.address, most).await;
+    let max = selected.max_connections;
+    let acquired = gateway.pool.acquire(selected.lifetime, selected.address, max).await;
     let mut lease = match acquired {
         Ok(lease) => lease,
         Err(PoolError::Full) => return AttemptEnd::Unsent("no_connection_free"),
@@ -103,14 +104,14 @@
     if lease.connection().ready().await.is_err() {
         return AttemptEnd::Unsent("connection_ended");
     }
-    // Here, where the bytes leave: opening the connection may have taken long.
+    // Checked just before sending, since opening the connection may have taken long.
     if !gateway.board.borrow().may_be_sent_to(id, lifetime, clock::now()) {
         return AttemptEnd::Unsent("upstream_left");
     }
     if !gateway.board.borrow().rests.left(lifetime, clock::now()).is_zero() {
         return AttemptEnd::Unsent("upstream_rests");
     }
-    if !gateway.use_room(lifetime, room) {
+    if !gateway.take_permit(lifetime, permit) {
         return AttemptEnd::Unsent("rate_limited");
     }
     let request = outgoing.request(&Attempt {
@@ -122,7 +123,7 @@
     });
     let sent = tokio::select! {
         sent = lease.connection().send(request) => sent,
-        () = selected.in_flight.lifetime_end() => return AttemptEnd::Broken(STARTED_AGAIN),
+        () = selected.in_flight.lifetime_end() => return AttemptEnd::Broken(UPSTREAM_RESTARTED),
     };
     let response = match sent {
         Ok(response) => response,
@@ -135,7 +136,7 @@
         return AttemptEnd::Broken("answer_of_another_request");
     }
     if platform::is_not_executed(status, headers) {
-        give_back_after(response, lease).await;
+        drain_and_release(response, lease).await;
         return AttemptEnd::NotExecuted(status);
     }
     if platform::seal_missing(status, headers) {
@@ -144,9 +145,8 @@
     AttemptEnd::Answer(response, lease)
 }
 
-/// Reads the rest of an answer that nobody needs, so that its connection can
-/// be used again.
-async fn give_back_after(response: Response<Incoming>, lease: Lease) {
+/// Reads and discards the rest of an answer, so that its connection can be reused.
+async fn drain_and_release(response: Response<Incoming>, lease: Lease) {
     let closes = platform::closes(response.headers());
     let keep_alive = platform::keep_alive(response.headers());
     let read = response.into_body().collect().await;
--- a/src/gateway/request/crash.rs
+++ b/src/gateway/request/crash.rs
@@ -1,4 +1,5 @@
-//! Runs that break off: whether the upstream ended, and what that says of the request.
+//! Interrupted runs: finds out whether the upstream process ended, and attributes its end to the
+//! requests that ran there. Requests that crash upstreams are quarantined.
 
 use std::{
     cell::RefCell, collections::HashMap, io::ErrorKind, net::SocketAddr, rc::Rc, time::Duration,
@@ -7,7 +8,7 @@
 use stakker::call;
 use tokio::sync::OnceCell;
 
-use super::{Refusal, attempt::STARTED_AGAIN, forward::Forwarding, select::Selected};
+use super::{Refusal, attempt::UPSTREAM_RESTARTED, forward::Forwarding, select::Selected};
 use crate::{
     clock,
     gateway::{
@@ -20,30 +21,30 @@
     ids::UpstreamId,
 };
 
-/// Times that a request waits for the word of others on the ends under it: a verdict on
-/// another request of its customer may bring a second wait, and none should bring more.
-const MOST_WAITS: u32 = 2;
+/// Times that a request waits for other gateways' reports about upstream ends attributed to it. A
+/// verdict on another request of its customer may cause a second wait; nothing should cause more.
+const MAX_VERDICT_WAITS: u32 = 2;
 
-/// Looks whether upstreams have ended, one for each lifetime at a time: the requests
-/// that break off together wait for the same look.
+/// Probes whether upstreams have ended. At most one probe runs for each lifetime; requests that are
+/// interrupted together share its result.
 #[derive(Debug, Default)]
 pub struct EndChecks {
     running: RefCell<HashMap<Lifetime, Rc<OnceCell<bool>>>>,
 }
 
 impl EndChecks {
-    /// Returns whether the upstream at `address` has ended: its host answers, and
-    /// nothing listens there any more. A host that is silent may be cut off.
+    /// Returns whether the upstream at `address` has ended, which is the case if its host refuses
+    /// the connection. A host that does not answer may be unreachable, which proves no end.
     async fn has_ended(
         &self,
         gateway: &Gateway,
         lifetime: Lifetime,
         address: SocketAddr,
-        most_connections: usize,
+        max_connections: usize,
     ) -> bool {
         let check = self.running.borrow_mut().entry(lifetime).or_default().clone();
-        let look = || async {
-            match gateway.pool.open_new(lifetime, address, most_connections).await {
+        let probe = || async {
+            match gateway.pool.open_new(lifetime, address, max_connections).await {
                 Ok(lease) => {
                     lease.give_back(None);
                     false
@@ -54,15 +55,15 @@
                 Err(PoolError::Connect(_) | PoolError::Full) => false,
             }
         };
-        let ended = *check.get_or_init(look).await;
+        let ended = *check.get_or_init(probe).await;
         self.running.borrow_mut().remove(&lifetime);
         ended
     }
 }
 
 impl Gateway {
-    /// Notes that an upstream has ended under the requests that broke off there, and
-    /// tells the other gateways.
+    /// Attributes the end of an upstream to the requests that were interrupted there, and informs
+    /// the other gateways.
     pub fn upstream_ended(&self, upstream: &UpstreamId, lifetime: Lifetime) {
         let now = clock::now();
         let mut guard = self.board.borrow_mut();
@@ -82,8 +83,8 @@
         self.tell(|c| call!([c.crashes], tell_now()));
     }
 
-    /// Releases a request that is held for crashes of upstreams, as an operator wishes;
-    /// returns whether it was.
+    /// Releases a request from quarantine on an operator's order; returns whether it was
+    /// quarantined.
     pub fn release(&self, digest: RequestDigest) -> bool {
         let now = clock::now();
         let mut board = self.board.borrow_mut();
@@ -97,25 +98,26 @@
 }
 
 impl Forwarding {
-    /// Notes that a run broke off, and finds out whether its upstream ended.
-    pub(super) async fn broke_off(&self, selected: &Selected, cause: &'static str) {
+    /// Handles an interrupted run and finds out whether its upstream ended.
+    pub(super) async fn handle_interrupted(&self, selected: &Selected, cause: &'static str) {
         let (id, lifetime) = (&selected.id, selected.lifetime);
         self.verdict(id, lifetime, Verdict::Failed);
-        let restarted = cause == STARTED_AGAIN;
+        let restarted = cause == UPSTREAM_RESTARTED;
         if !restarted && !self.serves(id, lifetime) {
-            // It had announced to leave, and ended for that reason.
+            // It had announced that it leaves, so its end says nothing about the request.
             return;
         }
-        self.note_break(lifetime);
+        self.note_interruption(lifetime);
         let (gateway, checks) = (&self.gateway, &self.gateway.end_checks);
-        let (address, most) = (selected.address, selected.most_connections);
-        if restarted || checks.has_ended(gateway, lifetime, address, most).await {
+        let (address, max) = (selected.address, selected.max_connections);
+        if restarted || checks.has_ended(gateway, lifetime, address, max).await {
             gateway.upstream_ended(id, lifetime);
         } else {
-            // It lives: these broke off for another reason. An upstream that spoils answers
-            // and is started again later has not ended under them.
+            // The upstream is alive, so the runs were interrupted for another reason. They are
+            // forgotten, lest a later restart of an upstream with faulty answers be attributed
+            // to them.
             self.note_failure(selected.side);
-            // What ran there without an answer that reaches anybody is used all the same.
+            // The run counts as usage although its answer reaches nobody.
             self.count_usage(clock::now());
             gateway.board.borrow_mut().breaks.take(lifetime);
         }
@@ -126,15 +128,15 @@
         board.in_lifetime(upstream, lifetime).is_some_and(|view| view.takes_work())
     }
 
-    fn note_break(&self, lifetime: Lifetime) {
+    fn note_interruption(&self, lifetime: Lifetime) {
         let customer = self.admitted.customer.clone().unwrap_or_default();
         let broken = Break { digest: self.digest, customer, lifetime };
         self.gateway.board.borrow_mut().breaks.note(broken, clock::now());
     }
 
-    /// Notes that an upstream ran the request to a good end, which shows that it crashes
-    /// none, and that the upstream lives.
-    pub(super) fn ran_to_good_end(&self, lifetime: Lifetime) {
+    /// Notes that an upstream completed the request, which shows that the request does not crash
+    /// upstreams and that this upstream is alive.
+    pub(super) fn note_completed(&self, lifetime: Lifetime) {
         let now = clock::now();
         let mut board = self.gateway.board.borrow_mut();
         let time = board.clock.unix_millis(now);
@@ -144,20 +146,22 @@
         self.gateway.note_verdicts(&changes, "own");
     }
 
-    /// Returns whether the request may be sent now, apart from other suspects if true.
-    /// Waits for a moment where the word of others may decide.
+    /// Waits until the request may be sent, if reports of other gateways may still settle that.
+    /// Returns whether it must run isolated from other requests suspected of crashing upstreams.
     ///
     /// # Errors
     ///
-    /// Fails with the refusal of a request that is not sent: it crashes upstreams, or a
-    /// copy of it runs that may show that it does.
-    pub(super) async fn may_send(&self) -> Result<bool, Refusal> {
+    /// Returns the refusal of a request that is not sent, because it crashes upstreams or because
+    /// a copy is running that may show whether it does.
+    pub(super) async fn await_send_permission(&self) -> Result<bool, Refusal> {
         let mut waits = 0;
         let refusal = loop {
             match self.permission() {
                 Permission::Free => return Ok(false),
                 Permission::Apart => return Ok(true),
-                Permission::Settles(at) if waits < MOST_WAITS => clock::sleep_until(at).await,
+                Permission::Settles(at) if waits < MAX_VERDICT_WAITS => {
+                    clock::sleep_until(at).await
+                }
                 Permission::Never => break Refusal::CrashesUpstreams,
                 Permission::Settles(_) | Permission::AfterCopy => break self.copy_runs(),
             }
@@ -184,8 +188,8 @@
         board.crashes.permission(self.digest, may_try, board.clock.unix_millis(now), now)
     }
 
-    /// Returns the refusal for a request of which a copy runs. It ends after the time
-    /// that a request to the service takes on average.
+    /// Returns the refusal for a request of which a copy is running. Its retry delay is the average
+    /// duration of a request to the service.
     fn copy_runs(&self) -> Refusal {
         let off = &self.gateway.settings.borrow().off;
         let speed = self.gateway.board.borrow().speed(&self.admitted.service, off);
--- a/src/gateway/request/doors.rs
+++ b/src/gateway/request/endpoints.rs
@@ -1,4 +1,4 @@
-//! What the process answers on each of its addresses.
+//! Request handlers of the addresses that the process listens on.
 
 use std::{net::SocketAddr, rc::Rc, time::Instant};
 
@@ -19,35 +19,35 @@
     platform::{decode_lookup, encode_addresses, is_ready_probe},
 };
 
-/// Seconds for which callers keep the addresses that they are told. A shorter
-/// time would only bring more questions: callers drop addresses that fail.
-const KEEP_SECONDS: u64 = 2;
-/// Addresses that one answer names at most; callers use no more.
-const MOST_ADDRESSES: usize = 64;
+/// Time to live of directory answers, in seconds. A shorter one would only cause more look-ups,
+/// since callers drop addresses that fail.
+const DIRECTORY_TTL_SECONDS: u64 = 2;
+/// Maximum number of addresses in a directory answer; callers use no more.
+const MAX_ADDRESSES: usize = 64;
 
-/// Path under which other gateways ask for the upstreams; `/REVISION` may follow, after which
-/// changes are asked for.
-const UPSTREAMS: &str = "/peer/upstreams";
+/// Path from which other gateways read the upstreams. With `/REVISION` appended, only changes after
+/// that revision are returned.
+const UPSTREAMS_PATH: &str = "/peer/upstreams";
 
-/// Which address a request came to.
+/// Kind of an address that the process listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DoorKind {
-    /// Callers' requests.
+    /// Callers' requests, which are forwarded to upstreams.
     Callers,
-    /// Callers' questions which addresses to use.
+    /// Directory look-ups, by which callers learn the addresses of gateways.
     Directory,
-    /// The platform's question whether the process is ready.
+    /// The platform's readiness probe.
     Readiness,
-    /// Other gateways, metrics and status.
+    /// Requests of other gateways, metrics, and operators' status and quarantine pages.
     Peers,
 }
 
-/// Answers what comes to one address.
+/// Answers requests that arrive at one listening address.
 #[derive(Debug)]
 pub struct Door {
-    /// Which.
+    /// Determines which handler answers.
     pub kind: DoorKind,
-    /// Context.
+    /// State that all handlers share.
     pub gateway: Rc<Gateway>,
 }
 
@@ -86,11 +86,11 @@
         return with_status(StatusCode::SERVICE_UNAVAILABLE, "nobody serves\n");
     }
     let longest = gateway.settings.borrow().bounds.directory_ttl.as_secs();
-    with_type(encode_addresses(&addresses, KEEP_SECONDS.min(longest)), "application/json")
+    with_type(encode_addresses(&addresses, DIRECTORY_TTL_SECONDS.min(longest)), "application/json")
 }
 
-/// Returns the gateways that callers may use. A process that hears nobody
-/// names itself.
+/// Returns the addresses of gateways that callers may use, shuffled to spread load. This process is
+/// included while it serves and has a configuration.
 fn addresses(gateway: &Gateway, now: Instant) -> Vec<SocketAddr> {
     let board = gateway.board.borrow();
     let mut addresses: Vec<SocketAddr> = board.serving_peers(now).map(|p| p.last.callers).collect();
@@ -98,7 +98,7 @@
         addresses.push(gateway.settings.borrow().listen.callers);
     }
     fastrand::shuffle(&mut addresses);
-    addresses.truncate(MOST_ADDRESSES);
+    addresses.truncate(MAX_ADDRESSES);
     addresses
 }
 
@@ -114,10 +114,10 @@
 
 fn peers(gateway: &Gateway, request: &Request<Incoming>) -> Response<AnswerBody> {
     let path = request.uri().path();
-    if let Some(rest) = path.strip_prefix(operators::QUARANTINE) {
+    if let Some(rest) = path.strip_prefix(operators::QUARANTINE_PATH) {
         return operators::quarantine(gateway, request.method(), rest);
     }
-    if let Some(after) = path.strip_prefix(UPSTREAMS) {
+    if let Some(after) = path.strip_prefix(UPSTREAMS_PATH) {
         return upstreams(gateway, after);
     }
     match path {
@@ -128,14 +128,14 @@
                 false => with_type(document, "application/json"),
             }
         }
-        status::STATUS => status::status(gateway),
+        status::STATUS_PATH => status::status(gateway),
         "/peer/quarantine" => quarantine(gateway),
         "/metrics" => match gateway.metrics.text() {
             Ok(text) => {
                 with_type(text, "application/openmetrics-text; version=1.0.0; charset=utf-8")
             }
             Err(e) => {
-                log::error!("the metrics cannot be written: {e}");
+                log::error!("failed to encode metrics: {e}");
                 with_status(StatusCode::INTERNAL_SERVER_ERROR, "unwritable\n")
             }
         },
@@ -147,13 +147,13 @@
     match encode_verdicts(&gateway.board.borrow().crashes.verdicts()) {
         Ok(bytes) => with_type(bytes, "application/octet-stream"),
         Err(e) => {
-            log::error!("the verdicts cannot be encoded: {e}");
+            log::error!("failed to encode quarantine verdicts: {e}");
             with_status(StatusCode::INTERNAL_SERVER_ERROR, "unwritable\n")
         }
     }
 }
 
-/// Answers with all upstreams, or with what has changed after the revision that is asked for.
+/// Answers with all upstreams, or with those changed after the requested revision.
 fn upstreams(gateway: &Gateway, after: &str) -> Response<AnswerBody> {
     let after = match after.strip_prefix('/').map_or(Ok(0), str::parse) {
         Ok(after) => after,
@@ -162,7 +162,7 @@
     match gateway.board.borrow().upstream_snapshot(after).encode() {
         Ok(bytes) => with_type(bytes, "application/octet-stream"),
         Err(e) => {
-            log::error!("the upstreams cannot be encoded: {e}");
+            log::error!("failed to encode upstream snapshot: {e}");
             with_status(StatusCode::INTERNAL_SERVER_ERROR, "unwritable\n")
         }
     }
--- a/src/gateway/request/events.rs
+++ b/src/gateway/request/events.rs
@@ -1,14 +1,14 @@
-//! Splits a stream into whole events, so that it can go on elsewhere after the
-//! last one that was passed on.
+//! Splits a server-sent event stream into complete events, so that it can be resumed at another
+//! upstream after the last event that was relayed.
 
 use bytes::{Bytes, BytesMut};
 
-/// End of an event.
+/// Terminator of an event.
 const END: &[u8] = b"\n\n";
-/// Start of the line that names an event.
+/// Prefix of the line that holds the id of an event.
 const ID: &str = "id:";
 
-/// Collects the bytes of a stream and gives out whole events.
+/// Buffers the bytes of a stream and returns them in complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buf: BytesMut,
@@ -16,7 +16,7 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes and returns those of the events that are whole by now.
+    /// Appends bytes and returns all events that are complete now; empty if none is.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.buf.extend_from_slice(bytes);
         let end = self.buf.windows(END.len()).rposition(|w| w == END);
@@ -30,17 +30,17 @@
         whole
     }
 
-    /// Returns what follows the last whole event, at the end of the stream.
+    /// Takes the bytes after the last complete event, at the end of the stream.
     pub fn rest(&mut self) -> Bytes {
         self.buf.split().freeze()
     }
 
-    /// Drops the incomplete event: another run begins it anew.
+    /// Discards the incomplete event, which the next run sends from its start.
     pub fn restart(&mut self) {
         self.buf.clear();
     }
 
-    /// Returns the id of the last whole event.
+    /// Returns the id of the last complete event that had one.
     pub fn last_id(&self) -> Option<&str> {
         self.last_id.as_deref()
     }
--- a/src/gateway/request/forward.rs
+++ b/src/gateway/request/forward.rs
@@ -1,4 +1,4 @@
-//! A request on its way: attempts until one brings an answer.
+//! Forwarding of a request: attempts at upstreams until one answers or none is left to try.
 
 use std::{
     cell::Cell,
@@ -16,11 +16,11 @@
 
 use super::{
     Admitted, Outcome, Refusal, admit,
-    attempt::{AttemptEnd, Outgoing, UNREACHABLE, attempt},
+    attempt::{AttemptEnd, OutgoingRequest, UNREACHABLE, attempt},
     in_flight::InProgress,
     relay::relay,
     report::refuse,
-    select::{Selected, Wanted, select},
+    select::{Criteria, Selected, select},
 };
 use crate::{
     clock,
@@ -35,43 +35,43 @@
     platform,
 };
 
-/// Patience of a caller that names none.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(30);
-/// Upstreams that one request is sent to at most, those included that did not
-/// run it.
+/// Timeout of a request whose caller sets none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
+/// Maximum number of upstreams chosen for one request, including those that did not run it.
 const MAX_SENDS: usize = 5;
-/// Time taken off the caller's patience for the way back.
-const WAY_BACK: Duration = Duration::from_millis(10);
-/// Largest answer that is read whole before it is passed on, in bytes.
-const MAX_WHOLE_ANSWER: usize = 8 << 20;
+/// Time subtracted from the caller's timeout for sending the answer back.
+const RETURN_MARGIN: Duration = Duration::from_millis(10);
+/// Maximum size in bytes of an answer that is buffered before it is relayed.
+const MAX_BUFFERED_BYTES: usize = 8 << 20;
 
-/// A request on its way.
+/// State of an admitted request until its answer ends.
 #[derive(Debug)]
 pub struct Forwarding {
-    /// Context.
+    /// State that all requests of the process share.
     pub gateway: Rc<Gateway>,
-    /// What is sent.
-    pub outgoing: Outgoing,
-    /// Digest of what is asked for.
+    /// The request as it is sent to upstreams.
+    pub outgoing: OutgoingRequest,
+    /// Digest by which copies of the request are recognised.
     pub digest: RequestDigest,
-    /// Terms on which it was admitted.
+    /// Route, customer and service determined at admission.
     pub admitted: Admitted,
-    /// When the answer must have ended.
+    /// When the answer must be complete.
     pub deadline: Instant,
-    /// When the request came.
+    /// When the request arrived.
     pub(super) arrived: Instant,
     tried: Vec<UpstreamId>,
-    /// When the newest attempt began.
-    pub(super) tried_at: Instant,
+    /// When the latest attempt began.
+    pub(super) attempted_at: Instant,
     runs: u32,
-    /// Whether it is counted in the customer's usage.
+    /// Whether the request was counted in the customer's usage.
     pub(super) counted: Cell<bool>,
-    /// Versions that the newest attempt went to.
+    /// Side of a roll-out that the latest attempt went to; `None` without a roll-out.
     side: Option<Side>,
     _in_progress: InProgress,
 }
 
-/// Answers a caller's request.
+/// Forwards a caller's request and returns the answer. During shutdown, the answer asks the caller
+/// to close the connection.
 pub async fn forward(gateway: Rc<Gateway>, request: Request<Incoming>) -> Response<AnswerBody> {
     let arrived = clock::now();
     let leaving = gateway.shutdown.phase() > Phase::Serving;
@@ -98,19 +98,19 @@
         Ok(admitted) => admitted,
         Err(refusal) => return refuse(gateway, &head, None, refusal, arrived),
     };
-    let patience = head.patience.unwrap_or(DEFAULT_PATIENCE);
-    let patience = patience.saturating_sub(WAY_BACK).min(admitted.route.timeout);
-    let deadline = arrived + patience;
+    let timeout = head.patience.unwrap_or(DEFAULT_TIMEOUT);
+    let timeout = timeout.saturating_sub(RETURN_MARGIN).min(admitted.route.timeout);
+    let deadline = arrived + timeout;
     let limit = admitted.configuration.limits.body_bytes;
     let read = clock::timeout_at(deadline, read_body(body, limit)).await;
     let body = match read.unwrap_or(Err(Refusal::TimeOverNotRun)) {
         Ok(body) => body,
         Err(refusal) => {
-            give_back(gateway, &admitted);
+            refund_quota(gateway, &admitted);
             return refuse(gateway, &head, Some(&admitted), refusal, arrived);
         }
     };
-    let outgoing = Outgoing::new(parts, head, body);
+    let outgoing = OutgoingRequest::new(parts, head, body);
     let digest = outgoing.digest(admitted.customer.as_deref());
     let mut forwarding = Forwarding {
         gateway: gateway.clone(),
@@ -120,7 +120,7 @@
         deadline,
         arrived,
         tried: Vec::new(),
-        tried_at: arrived,
+        attempted_at: arrived,
         runs: 0,
         counted: Cell::new(false),
         side: None,
@@ -132,7 +132,7 @@
         Ok(Ok(Reply::Stream(response, lease, selected))) => {
             relay(forwarding, response, lease, *selected)
         }
-        Ok(Ok(Reply::Whole(response))) => {
+        Ok(Ok(Reply::Buffered(response))) => {
             let outcome = match response.status().is_success() {
                 true => Outcome::Completed,
                 false => Outcome::UpstreamFailure,
@@ -159,28 +159,28 @@
     }
 }
 
-fn give_back(gateway: &Gateway, admitted: &Admitted) {
+fn refund_quota(gateway: &Gateway, admitted: &Admitted) {
     if let Some(customer) = &admitted.customer {
         gateway.board.borrow_mut().quotas.give_back(customer, admitted.tokens, clock::now());
     }
 }
 
-/// What the first upstream that answers gives.
+/// Answer of the first upstream that gives one.
 enum Reply {
-    /// A stream, to be passed on as it comes.
+    /// A stream, to be relayed as it arrives.
     Stream(Response<Incoming>, Lease, Box<Selected>),
-    /// An answer that was read whole.
-    Whole(Response<AnswerBody>),
+    /// A complete answer, read into memory.
+    Buffered(Response<AnswerBody>),
 }
 
 impl Forwarding {
     async fn first_answer(&mut self) -> Result<Reply, Refusal> {
         loop {
-            let apart = self.may_send().await?;
-            let Some(selected) = self.select(apart) else {
+            let isolated = self.await_send_permission().await?;
+            let Some(selected) = self.select(isolated) else {
                 return Err(self.give_up());
             };
-            // Until the outcome is known it may have run.
+            // Counted as run until the outcome of the attempt is known.
             self.runs += 1;
             self.side = selected.side;
             let end = attempt(
@@ -212,7 +212,7 @@
                     }
                 }
                 AttemptEnd::Broken(cause) => {
-                    self.broke_off(&selected, cause).await;
+                    self.handle_interrupted(&selected, cause).await;
                     if !self.may_run_again(&selected.id, cause) {
                         return Err(Refusal::Broken);
                     }
@@ -221,7 +221,8 @@
         }
     }
 
-    /// Takes an answer; `None` if another attempt should be made.
+    /// Handles the head of an answer, and buffers the body unless it is to be streamed. Returns
+    /// `None` if another attempt should be made.
     async fn take_answer(
         &mut self,
         response: Response<Incoming>,
@@ -235,11 +236,11 @@
         let (mut parts, body) = response.into_parts();
         let read = tokio::select! {
             biased;
-            read = Limited::new(body, MAX_WHOLE_ANSWER).collect() => read.ok(),
+            read = Limited::new(body, MAX_BUFFERED_BYTES).collect() => read.ok(),
             () = selected.in_flight.lifetime_end() => None,
         };
         let Some(body) = read else {
-            self.broke_off(&selected, "answer_incomplete").await;
+            self.handle_interrupted(&selected, "answer_incomplete").await;
             if self.may_run_again(&selected.id, "answer_incomplete") {
                 return Ok(None);
             }
@@ -260,29 +261,30 @@
             self.verdict(&selected.id, selected.lifetime, Verdict::Good);
             self.note_answer(&selected, now);
             self.note_first_token(&selected, now);
-            self.note_held(&selected, now);
+            self.note_slot_time(&selected, now);
         }
         if parts.status.is_success() {
-            self.ran_to_good_end(selected.lifetime);
+            self.note_completed(selected.lifetime);
         }
         platform::strip_hop_headers(&mut parts.headers);
-        Ok(Some(Reply::Whole(Response::from_parts(parts, full_body(body.to_bytes())))))
+        Ok(Some(Reply::Buffered(Response::from_parts(parts, full_body(body.to_bytes())))))
     }
 
-    /// Chooses the next upstream and logs the choice.
+    /// Chooses the upstream of the next attempt and logs the choice; `None` if none is left.
     ///
-    /// `apart` says whether upstreams ended under the request.
-    pub fn select(&mut self, apart: bool) -> Option<Selected> {
+    /// `isolated` is set if upstream ends were attributed to the request, which must then run
+    /// away from other suspects.
+    pub fn select(&mut self, isolated: bool) -> Option<Selected> {
         if self.tried.len() >= MAX_SENDS {
             return None;
         }
         let now = clock::now();
         let side = self.choose_side(now);
         let prompt = self.outgoing.head.prompt.as_ref();
-        let wanted = Wanted { digest: self.digest, prompt, tried: &self.tried, side, apart };
-        let selected = select(&self.gateway, &self.admitted, &wanted, now)?;
+        let criteria = Criteria { digest: self.digest, prompt, tried: &self.tried, side, isolated };
+        let selected = select(&self.gateway, &self.admitted, &criteria, now)?;
         self.tried.push(selected.id.clone());
-        self.tried_at = now;
+        self.attempted_at = now;
         self.gateway.log(&Event::Attempt {
             request: &self.outgoing.head.id,
             digest: &self.digest.to_string(),
@@ -305,7 +307,7 @@
         Some(selected)
     }
 
-    /// Chooses the versions that the next attempt goes to, while another one is rolled out.
+    /// Chooses the side of a roll-out for the next attempt; `None` without a roll-out.
     fn choose_side(&self, now: Instant) -> Option<Side> {
         let exposure = self.gateway.settings.borrow().bounds.exposure;
         let (service, route) = (&self.admitted.service, RouteKey::new(&self.admitted.route.name));
@@ -319,12 +321,12 @@
         }
     }
 
-    /// Returns whether an upstream may have run it.
+    /// Returns whether an upstream may have run the request.
     pub(super) fn has_run(&self) -> bool {
         self.runs > 0
     }
 
-    /// Returns the refusal for a request that nobody took.
+    /// Returns the refusal for a request for which no upstream is left to try.
     fn give_up(&self) -> Refusal {
         if self.runs > 0 {
             return Refusal::Broken;
@@ -334,8 +336,8 @@
         wait.map_or(Refusal::NoRoom, Refusal::HeldOff)
     }
 
-    /// Returns whether a request that may have run may run again, and takes it
-    /// from the budget of second attempts.
+    /// Returns whether a request that may have run may be retried, and charges the retry
+    /// budget for it.
     pub fn may_run_again(&mut self, upstream: &str, cause: &'static str) -> bool {
         let route = &self.admitted.route;
         let allowed = route.repeatable() && self.runs < route.max_attempts && self.take_retry();
@@ -343,15 +345,15 @@
         allowed
     }
 
-    /// Returns whether a request that did not run may be sent once more, and
-    /// takes it from the budget of second attempts.
+    /// Returns whether a request that did not run may be sent again, and charges the retry
+    /// budget for it.
     pub fn may_send_again(&mut self, upstream: &str, cause: &'static str) -> bool {
         let allowed = self.take_retry();
         self.log_failed(upstream, cause, false, allowed);
         allowed
     }
 
-    /// Notes that nothing reached the upstream.
+    /// Notes that an attempt failed before anything was sent, which costs no retry budget.
     pub(super) fn unsent(&mut self, selected: &Selected, cause: &'static str) {
         if cause == UNREACHABLE {
             self.verdict(&selected.id, selected.lifetime, Verdict::Unreachable);
@@ -383,7 +385,7 @@
 
     fn refused(&self, refusal: Refusal) -> Response<AnswerBody> {
         if self.runs == 0 {
-            give_back(&self.gateway, &self.admitted);
+            refund_quota(&self.gateway, &self.admitted);
         }
         let head = &self.outgoing.head;
         refuse(&self.gateway, head, Some(&self.admitted), refusal, self.arrived)
--- a/src/gateway/request/grants.rs
+++ b/src/gateway/request/grants.rs
@@ -1,4 +1,5 @@
-//! Requests that other gateways grant from their parts of limits.
+//! Permits under upstreams' rate limits. Each gateway holds a share of a limit; one whose share is
+//! used up asks another gateway to grant a request from its share.
 
 use std::{
     cell::{Cell, OnceCell, RefCell},
@@ -20,43 +21,43 @@
     },
 };
 
-/// Longest wait for another gateway's answer.
-const ANSWER_WITHIN: Duration = Duration::from_millis(250);
+/// Time after which a question to another gateway counts as unanswered.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Questions to other gateways that are not answered yet.
+/// Outstanding requests for permits to other gateways.
 #[derive(Debug, Default)]
 pub struct Grants {
     socket: OnceCell<Rc<UdpSocket>>,
-    asked: RefCell<HashMap<u64, oneshot::Sender<Option<Duration>>>>,
-    last: Cell<u64>,
+    pending: RefCell<HashMap<u64, oneshot::Sender<Option<Duration>>>>,
+    last_number: Cell<u64>,
 }
 
-/// Where there is room for a request in the limit of an upstream.
+/// Which share of an upstream's rate limit a request is sent under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Room {
-    /// In this gateway's part, or the upstream has no limit.
+pub(super) enum PermitSource {
+    /// This gateway's share, or the upstream has no limit.
     Own,
-    /// Another gateway has taken it from its part.
+    /// Another gateway's share, which that gateway has already charged.
     Granted,
 }
 
-/// Forgets a question whose request is gone or has waited for long enough.
-struct Pending<'a> {
+/// Removes an outstanding question when its request is dropped or its wait timed out.
+struct QuestionGuard<'a> {
     grants: &'a Grants,
     number: u64,
 }
 
-impl Drop for Pending<'_> {
+impl Drop for QuestionGuard<'_> {
     fn drop(&mut self) {
-        self.grants.asked.borrow_mut().remove(&self.number);
+        self.grants.pending.borrow_mut().remove(&self.number);
     }
 }
 
 impl Grants {
-    /// Sets the socket of the heartbeats, over which gateways ask each other.
+    /// Sets the heartbeat socket, which also carries the questions between gateways.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
         if self.socket.set(socket).is_err() {
-            log::error!("the socket for questions to gateways was set before");
+            log::error!("the socket for permit questions to other gateways is already set");
         }
     }
 
@@ -67,49 +68,51 @@
         let sent = question.encode().map(|datagram| socket.try_send_to(&datagram, to));
         match sent {
             Ok(Ok(_)) => {}
-            Ok(Err(e)) => log::debug!("question of a limit to {to}: {e}"),
-            Err(e) => log::error!("a question of a limit cannot be encoded: {e}"),
+            Ok(Err(e)) => log::debug!("failed to send rate-limit question to {to}: {e}"),
+            Err(e) => log::error!("failed to encode rate-limit question: {e}"),
         }
     }
 
-    /// Asks a gateway for one request to an upstream; `None` if it does not answer in time.
+    /// Asks a gateway for a permit for one request to an upstream; `None` if it does not answer
+    /// in time.
     async fn ask(&self, upstream: Lifetime, holder: SocketAddr) -> Option<HolderAnswer> {
-        let number = self.last.get().wrapping_add(1);
-        self.last.set(number);
+        let number = self.last_number.get().wrapping_add(1);
+        self.last_number.set(number);
         let (tx, rx) = oneshot::channel();
-        self.asked.borrow_mut().insert(number, tx);
-        let _pending = Pending { grants: self, number };
+        self.pending.borrow_mut().insert(number, tx);
+        let _guard = QuestionGuard { grants: self, number };
         self.send(LimitQuestion::Ask { number, upstream }, holder);
-        let wait = timeout(ANSWER_WITHIN, rx).await.ok()?.ok()?;
+        let wait = timeout(ANSWER_TIMEOUT, rx).await.ok()?.ok()?;
         Some(wait.map_or(HolderAnswer::Granted, HolderAnswer::Denied))
     }
 }
 
 impl Gateway {
-    /// Looks for room for a request in the limit of an upstream: in this gateway's part, or else
-    /// in that of another one.
-    pub(super) async fn find_room(&self, upstream: Lifetime) -> Option<Room> {
+    /// Finds a permit for a request under an upstream's rate limit, in this gateway's share or else
+    /// in another gateway's. Returns `None` if neither has one.
+    pub(super) async fn find_permit(&self, upstream: Lifetime) -> Option<PermitSource> {
         let now = clock::now();
         if self.board.borrow().limits.wait(upstream, now) == Some(Duration::ZERO) {
-            return Some(Room::Own);
+            return Some(PermitSource::Own);
         }
         let (holder, address) = self.board.borrow().holder_to_ask(upstream, now)?;
         let answer = self.grants.ask(upstream, address).await;
         let answer = answer.unwrap_or(HolderAnswer::Denied(GRANT_RETRY));
         let mut board = self.board.borrow_mut();
         board.limits.note_answer(upstream, holder, answer, clock::now());
-        (answer == HolderAnswer::Granted).then_some(Room::Granted)
+        (answer == HolderAnswer::Granted).then_some(PermitSource::Granted)
     }
 
-    /// Takes a request from the room that was found for it; `false` if it is gone.
-    pub(super) fn use_room(&self, upstream: Lifetime, room: Room) -> bool {
-        match room {
-            Room::Own => self.board.borrow_mut().limits.take(upstream, clock::now()),
-            Room::Granted => true,
+    /// Uses the permit found for a request; `false` if this gateway's share was used up meanwhile.
+    pub(super) fn take_permit(&self, upstream: Lifetime, source: PermitSource) -> bool {
+        match source {
+            PermitSource::Own => self.board.borrow_mut().limits.take(upstream, clock::now()),
+            PermitSource::Granted => true,
         }
     }
 
-    /// Takes over a question of another gateway, or its answer to one of this gateway's.
+    /// Handles a permit question of another gateway, or another gateway's answer to one of this
+    /// gateway's questions.
     pub fn hear_limit_question(&self, question: LimitQuestion, from: SocketAddr) {
         match question {
             LimitQuestion::Ask { number, upstream } => {
@@ -118,11 +121,11 @@
                 self.grants.send(LimitQuestion::Answer { number, wait }, from);
             }
             LimitQuestion::Answer { number, wait } => {
-                // It may come too late: nobody waits for it any more.
-                if let Some(tx) = self.grants.asked.borrow_mut().remove(&number)
+                // A late answer has no receiver any more.
+                if let Some(tx) = self.grants.pending.borrow_mut().remove(&number)
                     && tx.send(wait).is_err()
                 {
-                    log::debug!("an answer on a limit from {from} came too late");
+                    log::debug!("rate-limit answer from {from} arrived too late");
                 }
             }
         }
--- a/src/gateway/request/in_flight.rs
+++ b/src/gateway/request/in_flight.rs
@@ -1,4 +1,4 @@
-//! Accounts of what is in progress; guards give back what they took.
+//! Guards that count requests in progress and in flight, and undo the count when dropped.
 
 use std::{future::pending, rc::Rc};
 
@@ -14,14 +14,14 @@
     ids::UpstreamId,
 };
 
-/// A request in progress in this process.
+/// Guard that counts a request in this process from arrival to the end of its answer.
 #[derive(Debug)]
 pub struct InProgress {
     gateway: Rc<Gateway>,
 }
 
 impl InProgress {
-    /// Counts a request.
+    /// Counts a request until the guard is dropped.
     pub fn begin(gateway: &Rc<Gateway>) -> Self {
         gateway.board.borrow_mut().in_progress += 1;
         gateway.metrics.in_progress.inc();
@@ -36,7 +36,7 @@
     }
 }
 
-/// A request that one lifetime of an upstream runs for this process.
+/// Guard that counts a request in flight at one lifetime of an upstream.
 #[derive(Debug)]
 pub struct InFlight {
     gateway: Rc<Gateway>,
@@ -48,8 +48,7 @@
 }
 
 impl InFlight {
-    /// Counts a request whose prompt has `pending_tokens` that the upstream
-    /// has to read.
+    /// Counts a request with `pending_tokens` prompt tokens that the upstream has yet to process.
     pub fn begin(
         gateway: &Rc<Gateway>,
         digest: RequestDigest,
@@ -75,33 +74,33 @@
             newest,
             pending_tokens,
         };
-        in_flight.tell_if(matters);
+        in_flight.announce_copy(matters);
         in_flight
     }
 
-    /// Tells the other gateways of a suspect's copy that began or ended.
-    fn tell_if(&self, matters: bool) {
+    /// Informs the other gateways if a copy of a suspected request began or ended.
+    fn announce_copy(&self, matters: bool) {
         if matters {
             self.gateway.tell(|c| call!([c.crashes], tell_now()));
         }
     }
 
-    /// Waits until the upstream is known to have started again: this request will
-    /// not be answered any more, also where its connection stays open in silence.
+    /// Waits until the upstream is known to have restarted, after which this request gets no
+    /// answer, even if its connection stays open without data.
     pub fn lifetime_end(&self) -> impl Future<Output = ()> + use<> {
         let (newest, lifetime) = (self.newest.clone(), self.lifetime);
         async move {
             let Some(mut newest) = newest else {
                 return pending().await;
             };
-            // An error says that nobody tells of lifetimes any more.
+            // The sender is gone, so no further lifetime will be reported.
             if newest.wait_for(|l| *l != lifetime).await.is_err() {
                 pending().await
             }
         }
     }
 
-    /// Notes that the prompt was read.
+    /// Notes that the upstream has processed the prompt.
     pub fn prompt_read(&mut self) {
         let tokens = std::mem::take(&mut self.pending_tokens);
         let mut board = self.gateway.board.borrow_mut();
@@ -120,6 +119,6 @@
         }
         let matters = board.crashes.end(self.digest, self.lifetime);
         drop(board);
-        self.tell_if(matters);
+        self.announce_copy(matters);
     }
 }
--- a/src/gateway/request/mod.rs
+++ b/src/gateway/request/mod.rs
@@ -1,9 +1,9 @@
-//! The way of a request: admission, attempts at upstreams, the answer.
+//! Request path: admission, upstream selection, attempts and relaying of the answer.
 
 mod admit;
 mod attempt;
 mod crash;
-mod doors;
+mod endpoints;
 mod events;
 mod forward;
 mod grants;
@@ -19,7 +19,7 @@
 
 pub use admit::{Admitted, admit};
 pub use crash::EndChecks;
-pub use doors::{Door, DoorKind};
+pub use endpoints::{Door, DoorKind};
 pub use events::EventSplitter;
 pub use grants::Grants;
 pub use outcome::Outcome;
--- a/src/gateway/request/operators.rs
+++ b/src/gateway/request/operators.rs
@@ -1,20 +1,19 @@
-//! What operators ask a gateway, on the address for other gateways' questions.
+//! Operators' quarantine page, served on the peer address.
 
 use hyper::{Method, Response, StatusCode};
 use serde::Serialize;
 
-use super::doors::{with_status, with_type};
+use super::endpoints::{with_status, with_type};
 use crate::{
     gateway::{context::Gateway, decide::VerdictReport, net::AnswerBody},
     time::UnixMillis,
 };
 
-/// Path under which operators see and release requests that crash upstreams.
-pub(super) const QUARANTINE: &str = "/quarantine";
+/// Path of the page that lists and releases quarantined requests.
+pub(super) const QUARANTINE_PATH: &str = "/quarantine";
 
-/// Answers operators' questions about requests that are held for crashes of upstreams:
-/// `GET` lists them, `DELETE` with a digest releases one in the whole fleet. `rest` is what
-/// follows [`QUARANTINE`] in the path.
+/// Serves the requests that are quarantined for crashing upstreams: `GET` lists them, `DELETE` with
+/// a digest releases one on all gateways. `rest` is the path after [`QUARANTINE_PATH`].
 pub(super) fn quarantine(gateway: &Gateway, method: &Method, rest: &str) -> Response<AnswerBody> {
     match (method, rest.strip_prefix('/')) {
         (&Method::GET, None) if rest.is_empty() => list_quarantine(gateway),
@@ -27,16 +26,16 @@
     }
 }
 
-/// A request that is held, as operators see it.
+/// A quarantined request.
 #[derive(Serialize)]
-struct HeldRequest {
+struct QuarantinedRequest {
     digest: String,
     customer: String,
-    /// When it was quarantined, or tried since, in milliseconds of Unix time.
+    /// When it was quarantined or last tried since, in Unix milliseconds.
     at_ms: UnixMillis,
-    /// How often it was tried since it was quarantined.
+    /// Number of trials since it was quarantined.
     trials: u32,
-    /// Ends of upstreams under it that this process knows of.
+    /// Number of upstream ends attributed to it that this process knows of.
     ends: usize,
 }
 
@@ -44,8 +43,8 @@
     let board = gateway.board.borrow();
     let verdicts = board.crashes.verdicts();
     let held = verdicts.into_iter().filter(|VerdictReport(_, v)| v.is_quarantined());
-    let list: Vec<HeldRequest> = held
-        .map(|VerdictReport(digest, verdict)| HeldRequest {
+    let list: Vec<QuarantinedRequest> = held
+        .map(|VerdictReport(digest, verdict)| QuarantinedRequest {
             digest: digest.to_string(),
             customer: verdict.customer,
             at_ms: verdict.at_ms,
@@ -56,7 +55,7 @@
     match serde_json::to_vec(&list) {
         Ok(json) => with_type(json, "application/json"),
         Err(e) => {
-            log::error!("the quarantined requests cannot be listed: {e}");
+            log::error!("failed to encode the list of quarantined requests: {e}");
             with_status(StatusCode::INTERNAL_SERVER_ERROR, "unwritable\n")
         }
     }
--- a/src/gateway/request/outcome.rs
+++ b/src/gateway/request/outcome.rs
@@ -1,22 +1,22 @@
-//! How a request ended.
+//! Outcomes of answered requests.
 
-/// How a request ended.
+/// How an answer ended after an upstream began to send it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer was passed on.
+    /// The complete answer was relayed.
     Completed,
-    /// The upstream answered with a failure of its own, which was passed on.
+    /// The upstream answered with a status other than success, which was relayed.
     UpstreamFailure,
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
-    /// The time was over in the middle of the answer.
+    /// The deadline passed while the answer was being relayed.
     TimeOver,
-    /// The upstream broke off in the middle of the answer.
+    /// The upstream interrupted its answer, and the stream could not be resumed.
     BrokenOff,
 }
 
 impl Outcome {
-    /// Returns a word for logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Completed => "completed",
--- a/src/gateway/request/refusal.rs
+++ b/src/gateway/request/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers of this system's own: refusals and failures.
+//! Answers that the gateway itself generates: refusals, timeouts and gateway errors.
 
 use std::time::Duration;
 
@@ -10,69 +10,70 @@
 
 use crate::gateway::net::{AnswerBody, full_body};
 
-/// Time after which a caller is asked to come back to a process that has no
-/// configuration yet or is leaving: others can serve it at once.
-const SOON: Duration = Duration::from_millis(200);
-/// Time after which a configuration that is old is likely to be renewed, if the store
-/// answers by then.
-const FRESH: Duration = Duration::from_millis(1_000);
-/// Time after which room at upstreams is likely again.
-const ROOM: Duration = Duration::from_millis(600);
+/// Retry delay while this process has no configuration or shuts down; other gateways can serve the
+/// request at once.
+const OTHER_GATEWAY_DELAY: Duration = Duration::from_millis(200);
+/// Retry delay while the configuration may be stale; it is likely to be refreshed by then if the
+/// store answers.
+const CONFIGURATION_DELAY: Duration = Duration::from_millis(1_000);
+/// Retry delay after which upstreams are likely to have free capacity.
+const CAPACITY_DELAY: Duration = Duration::from_millis(600);
 
-/// Why a request got no answer from an upstream.
+/// Why the gateway answers a request itself, instead of relaying an upstream's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// This process knows no configuration yet, or knows that it has an old one.
+    /// This process has no configuration yet, does not know yet which requests crash upstreams, or
+    /// knows that a newer configuration exists.
     #[error("no configuration yet")]
     NoConfiguration,
-    /// The configuration here allows it not, and may be older than the newest one.
+    /// The configuration of this process does not allow the request, but may be stale.
     #[error("the configuration here may be old")]
     ConfigurationOld,
-    /// No route matches.
+    /// No route matches the request's host and path.
     #[error("no such route")]
     NoRoute,
-    /// The key is not known.
+    /// The API key is missing or belongs to no customer.
     #[error("unknown key")]
     UnknownKey,
-    /// The body is too large.
+    /// The body exceeds the configured maximum.
     #[error("body too large")]
     BodyTooLarge,
-    /// The body broke off.
+    /// The body ended before it was complete.
     #[error("body incomplete")]
     BodyIncomplete,
-    /// The customer's quota is used up for so long.
+    /// The customer's quota is exhausted; contains the time until it suffices again.
     #[error("quota used up")]
     QuotaUsedUp(Duration),
-    /// Upstreams end under it. No time to come back is told: there is none.
+    /// The request crashes upstreams. There is no retry delay, since a retry would be refused too.
     #[error("upstreams end while they run this request; it was not sent to any")]
     CrashesUpstreams,
-    /// Upstreams ended under it, and a copy of it runs for so long.
+    /// Upstream ends were attributed to the request and a copy of it is running; contains the time
+    /// that the copy is expected to take.
     #[error("a copy of this request runs, after upstreams ended under it")]
     CopyRuns(Duration),
-    /// No upstream takes it; it has not run.
+    /// No upstream has capacity; the request has not run.
     #[error("no upstream has room")]
     NoRoom,
-    /// All upstreams have named limits or asked for rest, and take nothing for so long; it
-    /// has not run.
+    /// All upstreams are rate-limited or have asked for a pause; the request has not run. Contains
+    /// the time until one accepts requests again.
     #[error("the upstreams take no more requests for now")]
     HeldOff(Duration),
-    /// This process is leaving; it has not run.
+    /// This process is shutting down; the request has not run.
     #[error("this process is leaving")]
     Leaving,
-    /// The time is over and it has not run.
+    /// The deadline passed and the request has not run.
     #[error("the time is over; it has not run")]
     TimeOverNotRun,
-    /// The time is over and it may have run.
+    /// The deadline passed and the request may have run.
     #[error("the time is over")]
     TimeOver,
-    /// The upstream broke off and it may have run.
+    /// The upstream gave no complete answer, and the request may have run.
     #[error("the upstream broke off")]
     Broken,
 }
 
 impl Refusal {
-    /// Returns the status. 429 and 503 promise that the request has not run
-    /// and will not.
+    /// Returns the HTTP status. 429 and 503 guarantee that the request has not run and will not.
     pub fn status(self) -> StatusCode {
         match self {
             Self::NoConfiguration
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Returns a word for logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn cause(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no_configuration",
@@ -116,15 +117,15 @@
 
     fn retry_after(self) -> Option<Duration> {
         match self {
-            Self::NoConfiguration | Self::Leaving => Some(SOON),
-            Self::ConfigurationOld => Some(FRESH),
-            Self::NoRoom | Self::TimeOverNotRun => Some(ROOM),
+            Self::NoConfiguration | Self::Leaving => Some(OTHER_GATEWAY_DELAY),
+            Self::ConfigurationOld => Some(CONFIGURATION_DELAY),
+            Self::NoRoom | Self::TimeOverNotRun => Some(CAPACITY_DELAY),
             Self::QuotaUsedUp(wait) | Self::CopyRuns(wait) | Self::HeldOff(wait) => Some(wait),
             _ => None,
         }
     }
 
-    /// Returns the answer.
+    /// Returns the answer, with a `Retry-After` header if there is a retry delay.
     pub fn response(self) -> Response<AnswerBody> {
         let mut response = Response::new(full_body(format!("{self}\n")));
         *response.status_mut() = self.status();
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -1,5 +1,5 @@
-//! Passes a stream on as it comes, and lets it go on at another upstream where
-//! the route allows.
+//! Relays a stream to the caller as it arrives, and resumes it at another upstream where the route
+//! allows that.
 
 use std::time::Instant;
 
@@ -26,11 +26,11 @@
     platform,
 };
 
-/// Frames that wait for a slow caller: a stall of the caller then holds up the
-/// upstream and not this process's memory.
-const QUEUE: usize = 16;
+/// Frames buffered for a slow caller. A full queue applies back-pressure to the upstream, so that
+/// memory use stays bounded.
+const QUEUE_FRAMES: usize = 16;
 
-/// Starts to pass on an answer; returns what the caller gets.
+/// Starts a task that relays an answer, and returns the response for the caller.
 pub fn relay(
     forwarding: Forwarding,
     response: Response<Incoming>,
@@ -40,11 +40,12 @@
     let (mut parts, body) = response.into_parts();
     let run = Run::new(&parts.headers, body, lease, selected);
     platform::strip_hop_headers(&mut parts.headers);
-    let (tx, rx) = channel(QUEUE);
+    let (tx, rx) = channel(QUEUE_FRAMES);
     spawn_local(async move {
-        let mut relay = Relay { forwarding, tx, events: EventSplitter::default(), first: None };
-        let outcome = relay.pass_on(run).await;
-        relay.forwarding.answered(parts.status, outcome, relay.first);
+        let mut relay =
+            Relay { forwarding, tx, events: EventSplitter::default(), first_data: None };
+        let outcome = relay.relay_runs(run).await;
+        relay.forwarding.answered(parts.status, outcome, relay.first_data);
     });
     Response::from_parts(parts, channel_body(rx))
 }
@@ -65,7 +66,7 @@
     }
 }
 
-/// How reading a run ended.
+/// Why reading the answer of a run stopped.
 enum RunEnd {
     Complete,
     Broken,
@@ -77,19 +78,19 @@
     forwarding: Forwarding,
     tx: Sender<Result<Bytes, BodyError>>,
     events: EventSplitter,
-    first: Option<Instant>,
+    first_data: Option<Instant>,
 }
 
 impl Relay {
-    async fn pass_on(&mut self, mut run: Run) -> Outcome {
+    async fn relay_runs(&mut self, mut run: Run) -> Outcome {
         loop {
             let end = self.read(&mut run).await;
             let (id, lifetime) = (run.selected.id.clone(), run.selected.lifetime);
             match end {
                 RunEnd::Complete => {
                     self.forwarding.verdict(&id, lifetime, Verdict::Good);
-                    self.forwarding.ran_to_good_end(lifetime);
-                    self.forwarding.note_held(&run.selected, clock::now());
+                    self.forwarding.note_completed(lifetime);
+                    self.forwarding.note_slot_time(&run.selected, clock::now());
                     if !run.closes {
                         run.lease.give_back(run.keep_alive);
                     }
@@ -102,10 +103,10 @@
                 }
                 RunEnd::Broken => {}
             }
-            // The run must be over before it goes on elsewhere.
+            // Ends the run before the stream is resumed elsewhere.
             let Run { selected, body, lease, .. } = run;
             drop((body, lease));
-            self.forwarding.broke_off(&selected, "broken_off").await;
+            self.forwarding.handle_interrupted(&selected, "broken_off").await;
             drop(selected);
             let Some(next) = self.resume(&id).await else {
                 self.fail(BodyError::BrokenOff).await;
@@ -132,8 +133,8 @@
                 Some(Err(_)) => return RunEnd::Broken,
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
-            if self.first.is_none() && !data.is_empty() {
-                self.begun(run);
+            if self.first_data.is_none() && !data.is_empty() {
+                self.note_first_data(run);
             }
             run.selected.in_flight.prompt_read();
             let data = if self.forwarding.admitted.route.resumable {
@@ -151,15 +152,15 @@
         }
     }
 
-    fn begun(&mut self, run: &Run) {
+    fn note_first_data(&mut self, run: &Run) {
         let now = clock::now();
-        self.first = Some(now);
+        self.first_data = Some(now);
         self.forwarding.count_usage(now);
         self.forwarding.note_answer(&run.selected, now);
         self.forwarding.note_first_token(&run.selected, now);
     }
 
-    /// Passes on what follows the last whole event.
+    /// Relays the bytes after the last complete event.
     async fn finish(&mut self) -> RunEnd {
         let rest = self.events.rest();
         if rest.is_empty() || self.tx.send(Ok(rest)).await.is_ok() {
@@ -168,7 +169,8 @@
         RunEnd::CallerLeft
     }
 
-    /// Lets the stream go on at another upstream after the last whole event.
+    /// Resumes the stream at another upstream after the last complete event; `None` if that is not
+    /// allowed or fails.
     async fn resume(&mut self, broken: &str) -> Option<Run> {
         let may_resume = self.forwarding.admitted.route.resumable;
         self.events.restart();
@@ -177,13 +179,13 @@
         }
         let after = self.events.last_id().map(str::to_owned);
         loop {
-            let apart = self.forwarding.may_send().await.ok()?;
-            let selected = self.forwarding.select(apart)?;
+            let isolated = self.forwarding.await_send_permission().await.ok()?;
+            let selected = self.forwarding.select(isolated)?;
             let Forwarding { gateway, outgoing, admitted, deadline, .. } = &self.forwarding;
-            let trying =
+            let attempting =
                 attempt(gateway, outgoing, admitted, &selected, after.as_deref(), *deadline);
             let end = tokio::select! {
-                end = trying => end,
+                end = attempting => end,
                 () = self.tx.closed() => return None,
                 () = clock::sleep_until(self.forwarding.deadline) => return None,
             };
@@ -194,7 +196,7 @@
                 }
                 AttemptEnd::Answer(..) => return None,
                 AttemptEnd::Broken(cause) => {
-                    self.forwarding.broke_off(&selected, cause).await;
+                    self.forwarding.handle_interrupted(&selected, cause).await;
                     if !self.forwarding.may_run_again(&selected.id, cause) {
                         return None;
                     }
@@ -211,9 +213,9 @@
         }
     }
 
-    /// Ends the caller's connection: the answer must not look complete.
+    /// Ends the caller's connection with an error, so that the answer does not look complete.
     async fn fail(&self, error: BodyError) {
-        // A caller that is gone needs no error.
+        // The send fails only if the caller has disconnected.
         drop(self.tx.send(Err(error)).await);
     }
 }
--- a/src/gateway/request/report.rs
+++ b/src/gateway/request/report.rs
@@ -1,4 +1,4 @@
-//! What is told of a request: log lines, metrics, health, usage.
+//! Records the course of a request in logs, metrics, health statistics and usage counts.
 
 use std::time::Instant;
 
@@ -19,10 +19,10 @@
     telemetry::{Labels, count},
 };
 
-/// Shortest time in seconds that a first token is expected to take: clocks tell no less apart.
-const LEAST_EXPECTED: f64 = 0.005;
+/// Minimum expected time to the first token, in seconds; clocks do not resolve shorter times.
+const MIN_EXPECTED_SECONDS: f64 = 0.005;
 
-/// Logs and returns an answer of this system's own.
+/// Logs and counts a refusal, and returns its response.
 pub(super) fn refuse(
     gateway: &Gateway,
     head: &RequestHead,
@@ -48,7 +48,7 @@
     refusal.response()
 }
 
-/// Returns the class of a request for metrics: the kind and rank of its route.
+/// Returns the class label of a request for metrics, from the kind and priority of its route.
 fn class(admitted: &Admitted) -> String {
     let kind = match admitted.route.kind {
         RequestKind::Safe => "safe",
@@ -59,27 +59,28 @@
 }
 
 impl Forwarding {
-    /// Logs and counts a failed attempt; `again` says what follows.
+    /// Logs and counts a failed attempt; `retrying` is set if another one follows.
     pub(super) fn log_failed(
         &self,
         upstream: &str,
         cause: &'static str,
         may_have_run: bool,
-        again: bool,
+        retrying: bool,
     ) {
         count(&self.gateway.metrics.failed_attempts, cause);
         self.gateway.log(&Event::AttemptFailed {
             request: &self.outgoing.head.id,
             digest: &self.digest.to_string(),
             upstream,
-            after_ms: clock::now().saturating_duration_since(self.tried_at).as_millis() as u64,
+            after_ms: clock::now().saturating_duration_since(self.attempted_at).as_millis() as u64,
             cause,
             may_have_run,
-            next: if again { "again" } else { "give_up" },
+            next: if retrying { "again" } else { "give_up" },
         });
     }
 
-    /// Notes how an upstream did in one lifetime. It says nothing of a later one.
+    /// Records the result of an attempt for one lifetime of an upstream; ignored if the upstream
+    /// has restarted since.
     pub fn verdict(&self, upstream: &UpstreamId, lifetime: Lifetime, verdict: Verdict) {
         let mut board = self.gateway.board.borrow_mut();
         if let Some(view) = board.in_lifetime(upstream, lifetime) {
@@ -91,17 +92,18 @@
         }
     }
 
-    /// Notes how long an answer took, for a roll-out of another version.
+    /// Records how long an answer took, for comparing the versions of a roll-out. The time is relative
+    /// to the predicted one if the request has a prompt, else in seconds.
     pub(super) fn note_answer(&self, selected: &Selected, now: Instant) {
         let took = now.saturating_duration_since(selected.at).as_secs_f64();
         let expected = match self.outgoing.head.prompt {
-            Some(_) => selected.predicted.as_secs_f64().max(LEAST_EXPECTED),
+            Some(_) => selected.predicted.as_secs_f64().max(MIN_EXPECTED_SECONDS),
             None => 1.0,
         };
         self.note_outcome(selected.side, Some(took / expected));
     }
 
-    /// Notes that a request failed, for a roll-out of another version.
+    /// Records a failed request, for comparing the versions of a roll-out.
     pub(super) fn note_failure(&self, side: Option<Side>) {
         self.note_outcome(side, None);
     }
@@ -113,9 +115,9 @@
         board.rollouts.note_answer(&self.admitted.service, route, side, took, time);
     }
 
-    /// Learns from a first token how fast the service is.
+    /// Updates the speed model of the service with a measured time to the first token.
     pub fn note_first_token(&self, selected: &Selected, now: Instant) {
-        if self.is_on_trial(selected) {
+        if self.is_canary(selected) {
             return;
         }
         let took = now.saturating_duration_since(selected.at);
@@ -128,9 +130,9 @@
         }
     }
 
-    /// Returns whether an upstream belongs to a version that does not carry the traffic: how
-    /// fast it is says nothing of the service.
-    fn is_on_trial(&self, selected: &Selected) -> bool {
+    /// Returns whether an upstream runs a canary version, whose speed is not representative of the
+    /// service.
+    fn is_canary(&self, selected: &Selected) -> bool {
         let exposure = self.gateway.settings.borrow().bounds.exposure;
         let board = self.gateway.board.borrow();
         let (service, now) = (&self.admitted.service, clock::now());
@@ -138,14 +140,14 @@
             && board.side_again(service, exposure, now) == Side::Earlier
     }
 
-    /// Learns for how long a request held its slot.
-    pub fn note_held(&self, selected: &Selected, now: Instant) {
+    /// Records for how long a request occupied its slot at the upstream.
+    pub fn note_slot_time(&self, selected: &Selected, now: Instant) {
         let held = now.saturating_duration_since(selected.at);
         let mut board = self.gateway.board.borrow_mut();
         board.load_meter(&self.admitted.service, now).ended(held.as_secs_f64(), now);
     }
 
-    /// Counts a request that began to run, once.
+    /// Counts a request in the customer's usage, at most once however many runs it has.
     pub fn count_usage(&self, now: Instant) {
         let Some(customer) = self.admitted.customer.as_ref().filter(|_| !self.counted.get()) else {
             return;
@@ -157,7 +159,7 @@
         board.usage.count(&self.gateway.process, window, customer);
     }
 
-    /// Logs and counts an answer that was passed on.
+    /// Logs and counts an answer that was relayed; `first` is when its first data arrived.
     pub fn answered(&self, status: StatusCode, outcome: Outcome, first: Option<Instant>) {
         let took_ms = clock::now().saturating_duration_since(self.arrived).as_millis() as u64;
         let to_first = first.map(|t| t.saturating_duration_since(self.arrived));
--- a/src/gateway/request/select.rs
+++ b/src/gateway/request/select.rs
@@ -1,4 +1,4 @@
-//! Choice of the upstream for one attempt.
+//! Selection of the upstream for one attempt.
 
 use std::{
     net::SocketAddr,
@@ -23,87 +23,87 @@
     prefix::Fingerprint,
 };
 
-/// Share of an upstream's connections that all gateways together use: new ones
-/// hold slots, and an upstream may accept fewer at times.
+/// Fraction of an upstream's connection limit that all gateways use together. The rest is left
+/// because new connections occupy slots and an upstream may accept fewer at times.
 const CONNECTION_SHARE: f64 = 0.8;
-/// Connections to one upstream that every process may have.
-const LEAST_CONNECTIONS: usize = 2;
+/// Minimum number of connections to one upstream that every process may open.
+const MIN_CONNECTIONS: usize = 2;
 
 /// The upstream chosen for an attempt.
 #[derive(Debug)]
 pub struct Selected {
-    /// The upstream.
+    /// Id of the chosen upstream.
     pub id: UpstreamId,
-    /// The lifetime of it that is meant.
+    /// Lifetime of the upstream that was chosen; a restart begins another one.
     pub lifetime: Lifetime,
-    /// Its address.
+    /// Address that the upstream listens on.
     pub address: SocketAddr,
-    /// Connections that this process may have to it.
-    pub most_connections: usize,
-    /// Account of the attempt.
+    /// Maximum number of connections of this process to the upstream.
+    pub max_connections: usize,
+    /// Guard that counts the attempt as in flight.
     pub in_flight: InFlight,
-    /// When it was chosen.
+    /// When the upstream was chosen.
     pub at: Instant,
     /// Predicted time to the first token.
     pub predicted: Duration,
-    /// What the choice rests on.
+    /// Figures that the choice was based on.
     pub candidate: Candidate,
-    /// Candidates that it was chosen from.
+    /// Number of candidates it was chosen from.
     pub candidates: usize,
-    /// Those among them that hold the shared part of the prompt, as believed.
+    /// Number of candidates believed to have the shared part of the prompt cached.
     pub holders: usize,
-    /// Revision of the list of upstreams.
+    /// Store revision of the list of upstreams that the choice was based on.
     pub revision: u64,
-    /// Whether it is known to leave.
+    /// Whether the upstream is known to be leaving.
     pub leaving: bool,
-    /// Whether its row is missing.
+    /// Whether the upstream's row is missing from the store.
     pub row_missing: bool,
-    /// Versions that it belongs to, while another one is rolled out.
+    /// Side of a roll-out that the upstream belongs to; `None` without a roll-out.
     pub side: Option<Side>,
 }
 
-/// The shared part of a prompt: what other requests are about, too.
+/// Prefix of a prompt that other requests are likely to share.
 #[derive(Clone, Copy, Debug)]
 struct Shared {
     fingerprint: Fingerprint,
     tokens: u32,
 }
 
-/// The last part of a prompt is the request's own; those before are shared.
+/// Returns the shared prefix of a prompt: all parts but the last, which is the request's own.
 fn shared(prompt: &Prompt) -> Option<Shared> {
     let (_, shared) = prompt.parts.split_last()?;
     let (fingerprint, _) = *shared.last()?;
     Some(Shared { fingerprint, tokens: shared.iter().map(|(_, tokens)| tokens).sum() })
 }
 
-/// What an upstream is wanted for.
+/// Criteria for the selection of an upstream.
 #[derive(Clone, Copy, Debug)]
-pub struct Wanted<'a> {
-    /// Digest of the request.
+pub struct Criteria<'a> {
+    /// Digest of the request, by which its copies are recognised.
     pub digest: RequestDigest,
-    /// Its prompt, for model engines.
+    /// Prompt of the request; `None` if it does not go to a model engine.
     pub prompt: Option<&'a Prompt>,
-    /// Upstreams that it was sent to, which are passed over.
+    /// Upstreams chosen for earlier attempts, which are excluded.
     pub tried: &'a [UpstreamId],
-    /// Versions that it goes to, while another one is rolled out.
+    /// Side of a roll-out that the request goes to; `None` without a roll-out.
     pub side: Option<Side>,
-    /// Whether upstreams ended under it, so that it runs apart from other suspects and
-    /// where the least is lost.
-    pub apart: bool,
+    /// Whether upstream ends were attributed to the request, so that it must run isolated from
+    /// other suspects, at the upstream whose end would interrupt the fewest requests.
+    pub isolated: bool,
 }
 
-/// Chooses the upstream for an attempt and counts it there.
+/// Chooses the upstream for an attempt and counts the request there as in flight.
 pub fn select(
     gateway: &Rc<Gateway>,
     admitted: &Admitted,
-    wanted: &Wanted<'_>,
+    criteria: &Criteria<'_>,
     now: Instant,
 ) -> Option<Selected> {
-    let shared = wanted.prompt.and_then(shared);
+    let shared = criteria.prompt.and_then(shared);
     let off = gateway.settings.borrow().off.clone();
     let speed = gateway.board.borrow().speed(&admitted.service, &off);
     let Choice { id, candidate, candidates, holders } =
-        choose(gateway, admitted, wanted, shared, speed, now)?;
+        choose(gateway, admitted, criteria, shared, speed, now)?;
     let mut guard = gateway.board.borrow_mut();
     let board = &mut *guard;
     let view = board.upstreams.get(&id)?;
@@ -118,20 +118,20 @@
         let report = PrefixReport(shared.fingerprint, shared.tokens, lifetime);
         board.sent_prefixes.push(report);
     }
-    // A request brings its load once, however often it is sent.
-    if wanted.tried.is_empty() {
+    // The load of a request is counted once, not for each attempt.
+    if criteria.tried.is_empty() {
         board.load_meter(&admitted.service, now).request(missing, now);
     }
     let processes = 1 + board.peers.len();
     drop(guard);
-    let in_flight = InFlight::begin(gateway, wanted.digest, &id, lifetime, missing);
-    let most_connections = connection_share(admitted, processes);
+    let in_flight = InFlight::begin(gateway, criteria.digest, &id, lifetime, missing);
+    let max_connections = connection_share(admitted, processes);
     let predicted = predicted_wait(&candidate, speed);
     Some(Selected {
         id,
         lifetime,
         address,
-        most_connections,
+        max_connections,
         in_flight,
         at: now,
         predicted,
@@ -153,23 +153,23 @@
 fn connection_share(admitted: &Admitted, processes: usize) -> usize {
     let service = admitted.configuration.services.get(&admitted.service);
     let all = service.map_or(0, |s| s.max_connections) as f64 * CONNECTION_SHARE;
-    ((all / processes as f64) as usize).max(LEAST_CONNECTIONS)
+    ((all / processes as f64) as usize).max(MIN_CONNECTIONS)
 }
 
-/// The best of the upstreams that the request may go to.
+/// The best upstream that the request may go to.
 struct Choice {
     id: UpstreamId,
     candidate: Candidate,
-    /// Upstreams that it was chosen from.
+    /// Number of upstreams it was chosen from.
     candidates: usize,
-    /// Those among them that hold the shared part of the prompt, as believed.
+    /// Number of those believed to have the shared part of the prompt cached.
     holders: usize,
 }
 
 fn choose(
     gateway: &Gateway,
     admitted: &Admitted,
-    wanted: &Wanted<'_>,
+    criteria: &Criteria<'_>,
     shared: Option<Shared>,
     speed: EngineSpeed,
     now: Instant,
@@ -180,22 +180,24 @@
     };
     let board = gateway.board.borrow();
     let exposure = gateway.settings.borrow().bounds.exposure;
-    let mut open = board.open_to(&admitted.service, wanted.side, exposure, now);
-    open.retain(|v| !wanted.tried.contains(&v.upstream.id));
-    let open = with_room(&board, open, now);
+    let mut open = board.open_to(&admitted.service, criteria.side, exposure, now);
+    open.retain(|v| !criteria.tried.contains(&v.upstream.id));
+    let open = with_capacity(&board, open, now);
     let views = in_service(open, &off, now);
-    let views = without_risk(&board, views, wanted.apart);
+    let views = away_from_suspects(&board, views, criteria.isolated);
     let shared = shared.filter(|_| off.is_on(Mechanism::KnownCaches));
-    let home =
-        shared.filter(|_| off.is_on(Mechanism::PrefixHome)).and_then(|s| home(&board, &views, s));
-    // A failure costs a caller its objective, or the time of another attempt if that is longer.
+    let home = shared
+        .filter(|_| off.is_on(Mechanism::PrefixHome))
+        .and_then(|s| prefix_home(&board, &views, s));
+    // A failure is weighted with the route's latency objective, or with the duration of another
+    // attempt if that is longer.
     let objective = admitted.route.objective.as_secs_f64();
     let failure_weight = (objective / speed.held.max(f64::EPSILON)).max(1.0);
     let candidates: Vec<Candidate> = views
         .iter()
         .map(|view| {
             let at_home = home.is_some_and(|id| *id == view.upstream.id);
-            let missing = missing_tokens(&board, view, wanted.prompt, shared, at_home);
+            let missing = missing_tokens(&board, view, criteria.prompt, shared, at_home);
             let candidate = board.candidate(view, missing, &own, now, fastrand::f64());
             let own = if off.is_on(Mechanism::Failures) { candidate.failures } else { 0.0 };
             let all = match off.is_on(Mechanism::SharedOutcomes) {
@@ -207,7 +209,7 @@
             Candidate { failures, connected, ..candidate }
         })
         .collect();
-    let best = match wanted.apart {
+    let best = match criteria.isolated {
         true => least_to_lose(&candidates, speed)?,
         false => choose_engine(&candidates, speed)?,
     };
@@ -221,24 +223,23 @@
     })
 }
 
-/// Returns the upstreams that neither rest nor have a limit without room for a request of this
-/// gateway. If none of them takes work, another gateway may have room in its part of a limit.
-fn with_room<'a>(
+/// Returns the upstreams that have not asked for a pause and whose rate limit leaves a permit in this
+/// gateway's share. If none of them takes work, adds those for which another gateway may grant one.
+fn with_capacity<'a>(
     board: &Board,
     open: Vec<&'a UpstreamView>,
     now: Instant,
 ) -> Vec<&'a UpstreamView> {
     let takes_now = |v: &&UpstreamView| board.hold_off(v.lifetime, now) == Some(Duration::ZERO);
-    let (mut room, held_off): (Vec<_>, Vec<_>) = open.into_iter().partition(takes_now);
-    if !room.iter().any(|v| v.takes_work()) {
-        room.extend(held_off.into_iter().filter(|v| board.may_ask(v.lifetime, now)));
+    let (mut ready, held_off): (Vec<_>, Vec<_>) = open.into_iter().partition(takes_now);
+    if !ready.iter().any(|v| v.takes_work()) {
+        ready.extend(held_off.into_iter().filter(|v| board.may_ask(v.lifetime, now)));
     }
-    room
+    ready
 }
 
-/// Returns the upstreams that take work. Those that could not be reached of late
-/// count only if there are no others, and those that have just begun to leave only
-/// if there are none at all.
+/// Returns the upstreams that take work. Recently unreachable ones are used only if there are no
+/// others, and ones that have just begun to leave only if no upstream takes work.
 fn in_service<'a>(
     open: Vec<&'a UpstreamView>,
     off: &SwitchedOff,
@@ -254,15 +255,15 @@
     if reached.is_empty() { avoided } else { reached }
 }
 
-/// Returns the upstreams at which no suspect runs, or all if none is left: a suspect takes
-/// whatever runs beside it. Requests that are none keep off those alone that are likely
-/// to end.
-fn without_risk<'a>(
+/// Returns the upstreams at which no request suspected of crashing upstreams runs, or all if none is
+/// left, since a crash also ends the requests that run beside the suspect. Requests that are not
+/// suspects avoid only upstreams that are likely to end.
+fn away_from_suspects<'a>(
     board: &Board,
     views: Vec<&'a UpstreamView>,
-    apart: bool,
+    isolated: bool,
 ) -> Vec<&'a UpstreamView> {
-    let risked = board.crashes.risked(apart);
+    let risked = board.crashes.risked(isolated);
     if risked.is_empty() {
         return views;
     }
@@ -271,9 +272,13 @@
     if safe.is_empty() { at_risk } else { safe }
 }
 
-/// Returns where a prefix belongs that no engine holds yet, so that all
-/// processes send it to the same engine: the highest hash of both.
-fn home<'a>(board: &Board, views: &[&'a UpstreamView], shared: Shared) -> Option<&'a UpstreamId> {
+/// Returns the upstream for a prefix that no engine has cached yet, by rendezvous hashing, so that
+/// all gateways send it to the same engine.
+fn prefix_home<'a>(
+    board: &Board,
+    views: &[&'a UpstreamView],
+    shared: Shared,
+) -> Option<&'a UpstreamId> {
     if views.iter().any(|v| board.cache.holds(v.lifetime, shared.fingerprint)) {
         return None;
     }
@@ -282,7 +287,7 @@
     views.iter().max_by_key(score).map(|v| &v.upstream.id)
 }
 
-/// Returns how many prompt tokens an engine would have to read.
+/// Returns the number of prompt tokens that are not cached at an engine and that it must process.
 fn missing_tokens(
     board: &Board,
     view: &UpstreamView,
--- a/src/gateway/request/signals.rs
+++ b/src/gateway/request/signals.rs
@@ -1,24 +1,23 @@
-//! What upstreams say of themselves in the heads of their answers.
+//! Signals in the heads of upstreams' answers: leaving, requested pauses and rate limits.
 
 use hyper::{HeaderMap, StatusCode};
 
-use super::{attempt::Outgoing, select::Selected};
+use super::{attempt::OutgoingRequest, select::Selected};
 use crate::{
     clock,
     gateway::{context::Gateway, decide::LimitNotice, telemetry::Event},
     platform::{self, SignalError},
 };
 
-/// Takes over what the upstream says of itself in the head of an answer, whatever comes of
-/// the request.
+/// Applies the signals in the head of an upstream's answer, whether or not the request succeeded.
 pub(super) fn note_signals(
     gateway: &Gateway,
-    outgoing: &Outgoing,
+    outgoing: &OutgoingRequest,
     selected: &Selected,
     status: StatusCode,
     headers: &HeaderMap,
 ) {
-    // Another upstream may answer at the address of one that is gone.
+    // After an upstream has gone, another one may answer at its address.
     if status == StatusCode::MISDIRECTED_REQUEST {
         return;
     }
@@ -30,11 +29,11 @@
             gateway.log_leaving(selected.lifetime, request);
         }
     }
-    let rested = note_rest(gateway, request, selected, status, headers);
-    reject_bad(gateway, request, selected, rested);
+    let pause = note_rest(gateway, request, selected, status, headers);
+    log_rejected(gateway, request, selected, pause);
     if platform::same_request(headers, request) {
-        let noted = note_rate_limit(gateway, request, selected, headers);
-        reject_bad(gateway, request, selected, noted);
+        let limit = note_rate_limit(gateway, request, selected, headers);
+        log_rejected(gateway, request, selected, limit);
     }
 }
 
@@ -64,13 +63,14 @@
     headers: &HeaderMap,
 ) -> Result<(), SignalError> {
     let rate = platform::decode_rate_limit(headers)?;
-    // Without a signature it may be the answer of something on the way.
+    // An unsigned answer may come from an intermediary, so it does not lift a limit.
     if rate.is_none() && !platform::is_signed(headers) {
         return Ok(());
     }
     let now = clock::now();
     let mut board = gateway.board.borrow_mut();
-    // The upstream may have answered as early as the request went out, before a limit began.
+    // The upstream may have answered as soon as the request was sent, before a limit began. An answer
+    // without a limit is therefore dated back to the time when the upstream was chosen.
     let at = board.store_time(if rate.is_some() { now } else { selected.at });
     let notice = LimitNotice { rate, at };
     let changed = board.limits.learn(selected.lifetime, notice, now);
@@ -81,7 +81,7 @@
     Ok(())
 }
 
-fn reject_bad(
+fn log_rejected(
     gateway: &Gateway,
     request: &str,
     selected: &Selected,
--- a/src/gateway/request/status.rs
+++ b/src/gateway/request/status.rs
@@ -1,11 +1,11 @@
-//! What a gateway tells operators of itself and of the others that it hears.
+//! Operators' status page: the state of this gateway, and of others as reported by their heartbeats.
 
 use std::time::{Duration, Instant};
 
 use hyper::{Response, StatusCode};
 use serde::Serialize;
 
-use super::doors::{with_status, with_type};
+use super::endpoints::{with_status, with_type};
 use crate::{
     clock,
     gateway::{
@@ -17,93 +17,93 @@
     },
 };
 
-/// Path under which operators ask how a gateway does.
-pub(super) const STATUS: &str = "/status";
+/// Path of the status page.
+pub(super) const STATUS_PATH: &str = "/status";
 
-/// How a gateway does.
+/// State of a gateway, as shown to operators.
 #[derive(Serialize)]
 struct GatewayStatus {
     process: String,
     phase: Phase,
-    /// Whether callers should use it.
+    /// Whether the readiness probe succeeds, so that callers should use the gateway.
     ready: bool,
     /// Version of the configuration in force; 0 for none.
     configuration: u64,
-    /// Milliseconds since it was known to be the newest; `null` if it never was.
+    /// Milliseconds since the configuration was last known to be the newest; `null` if it never was.
     configuration_age_ms: Option<u64>,
-    /// Upstreams that take work.
+    /// Number of upstreams that take work.
     upstreams: usize,
-    /// Revision of the store up to which they are known.
+    /// Store revision up to which the upstreams are known.
     upstreams_position: Revision,
-    /// Milliseconds since that was known to be the newest; `null` if it never was.
+    /// Milliseconds since that revision was last known to be the newest; `null` if it never was.
     upstreams_age_ms: Option<u64>,
-    /// Whether the store answers this process, as far as it knows.
+    /// Whether the store answered this process when last asked.
     store_answers: bool,
-    /// Fencing number of its lease on the duties; 0 for none.
+    /// Fencing token of the lease for the duties; 0 if this process does not hold it.
     lease_fence: u64,
     in_progress: usize,
-    /// Requests that are held, since upstreams end under them.
+    /// Number of requests that are quarantined for crashing upstreams.
     quarantined: usize,
-    /// Upstreams that ask in their answers for fewer requests or none.
+    /// Upstreams that ask in their answers for fewer or no requests.
     signals: Vec<SignalStatus>,
-    /// Roll-outs of versions.
+    /// Version roll-outs.
     rollouts: Vec<RolloutStatus>,
-    /// The other gateways, as last heard.
-    others: Vec<OtherStatus>,
+    /// Other gateways, as of their last heartbeats.
+    others: Vec<PeerStatus>,
 }
 
-/// What an upstream asks for in its answers, as this process knows it.
+/// Signals that an upstream sent in its answers, as known to this process.
 #[derive(Serialize)]
 struct SignalStatus {
     upstream: String,
-    /// Requests a second that it takes from all gateways together; `null` for any number.
+    /// Rate limit over all gateways, in requests per second; `null` for none.
     limit: Option<f64>,
-    /// For how long it still wants none from this process, in milliseconds.
+    /// Milliseconds left of a pause that it asked this process for; 0 for none.
     rest_ms: u64,
-    /// Whether it said that it leaves.
+    /// Whether it announced that it leaves.
     leaving: bool,
 }
 
-/// A roll-out of a version, as this process knows it.
+/// A version roll-out, as known to this process.
 #[derive(Serialize)]
 struct RolloutStatus {
     service: String,
     destination: String,
     state: &'static str,
-    /// Share of the traffic that the new version gets; at most this while it is on trial.
+    /// Fraction of the traffic that the new version gets; an upper bound during the canary phase.
     share: f64,
-    /// Requests to the service since the order.
+    /// Number of requests to the service since the roll-out was ordered.
     arrived: u32,
-    /// Those among them that the new version got.
+    /// Number of those that went to the new version.
     exposed: u32,
-    /// What keeps it from all traffic.
+    /// Reason why the new version does not get all traffic.
     doubt: String,
-    /// Time since the order, in milliseconds.
+    /// Milliseconds since the roll-out was ordered.
     age_ms: u64,
-    /// Time that the order gives, in milliseconds.
+    /// Duration set for the roll-out, in milliseconds.
     duration_ms: u64,
 }
 
-/// Another gateway as last heard.
+/// Another gateway, as of its last heartbeat.
 #[derive(Serialize)]
-struct OtherStatus {
+struct PeerStatus {
     process: String,
     phase: Phase,
     configuration: u64,
     store_answers: bool,
     holds_lease: bool,
-    /// Milliseconds since it was heard.
+    /// Milliseconds since the last heartbeat.
     heard_ms: u64,
-    /// Whether that is too long ago for it to be named to callers.
+    /// Whether that is too long ago for the gateway to be listed in directory answers.
     silent: bool,
 }
 
-/// Answers with the state of this process and of the others that it hears.
+/// Answers with the state of this process and of the gateways that it hears.
 pub(super) fn status(gateway: &Gateway) -> Response<AnswerBody> {
     match serde_json::to_vec(&describe(gateway, clock::now())) {
         Ok(json) => with_type(json, "application/json"),
         Err(e) => {
-            log::error!("the status cannot be told: {e}");
+            log::error!("failed to encode status: {e}");
             with_status(StatusCode::INTERNAL_SERVER_ERROR, "unwritable\n")
         }
     }
@@ -133,7 +133,7 @@
     }
 }
 
-/// Returns what an upstream asks for, if it asks for anything.
+/// Returns the signals of an upstream; `None` if it asks for nothing.
 fn signals(board: &Board, view: &UpstreamView, now: Instant) -> Option<SignalStatus> {
     let limit = board.limits.rate(view.lifetime);
     let rest_ms = board.rests.left(view.lifetime, now).as_millis() as u64;
@@ -160,9 +160,9 @@
     board.rollouts.views(time).map(status).collect()
 }
 
-fn other(process: &str, peer: &PeerView, silence: Duration, now: Instant) -> OtherStatus {
+fn other(process: &str, peer: &PeerView, silence: Duration, now: Instant) -> PeerStatus {
     let heard = now.saturating_duration_since(peer.heard);
-    OtherStatus {
+    PeerStatus {
         process: process.to_owned(),
         phase: peer.last.phase,
         configuration: peer.last.configuration,
