--- a/src/gateway/request/report.rs
+++ b/src/gateway/request/report.rs
@@ -92,8 +92,8 @@
         }
     }
 
-    /// Records how long an answer took, for comparing the versions of a roll-out. The time is relative
-    /// to the predicted one if the request has a prompt, else in seconds.
+    /// Records how long an answer took, for comparing the versions of a roll-out. The time is
+    /// relative to the predicted one if the request has a prompt, else in seconds.
     pub(super) fn note_answer(&self, selected: &Selected, now: Instant) {
         let took = now.saturating_duration_since(selected.at).as_secs_f64();
         let expected = match self.outgoing.head.prompt {
--- a/src/gateway/request/select.rs
+++ b/src/gateway/request/select.rs
@@ -223,8 +223,9 @@
     })
 }
 
-/// Returns the upstreams that have not asked for a pause and whose rate limit leaves a permit in this
-/// gateway's share. If none of them takes work, adds those for which another gateway may grant one.
+/// Returns the upstreams that have not asked for a pause and whose rate limit leaves a permit in
+/// this gateway's share. If none of them takes work, adds those for which another gateway may grant
+/// one.
 fn with_capacity<'a>(
     board: &Board,
     open: Vec<&'a UpstreamView>,
@@ -255,8 +256,8 @@
     if reached.is_empty() { avoided } else { reached }
 }
 
-/// Returns the upstreams at which no request suspected of crashing upstreams runs, or all if none is
-/// left, since a crash also ends the requests that run beside the suspect. Requests that are not
+/// Returns the upstreams at which no request suspected of crashing upstreams runs, or all if none
+/// is left, since a crash also ends the requests that run beside the suspect. Requests that are not
 /// suspects avoid only upstreams that are likely to end.
 fn away_from_suspects<'a>(
     board: &Board,
--- a/src/gateway/request/signals.rs
+++ b/src/gateway/request/signals.rs
@@ -69,8 +69,8 @@
     }
     let now = clock::now();
     let mut board = gateway.board.borrow_mut();
-    // The upstream may have answered as soon as the request was sent, before a limit began. An answer
-    // without a limit is therefore dated back to the time when the upstream was chosen.
+    // The upstream may have answered as soon as the request was sent, before a limit began. An
+    // answer without a limit is therefore dated back to the time when the upstream was chosen.
     let at = board.store_time(if rate.is_some() { now } else { selected.at });
     let notice = LimitNotice { rate, at };
     let changed = board.limits.learn(selected.lifetime, notice, now);
--- a/src/gateway/request/status.rs
+++ b/src/gateway/request/status.rs
@@ -1,4 +1,5 @@
-//! Operators' status page: the state of this gateway, and of others as reported by their heartbeats.
+//! Operators' status page: the state of this gateway, and of others as reported by their
+//! heartbeats.
 
 use std::time::{Duration, Instant};
 
@@ -29,7 +30,8 @@
     ready: bool,
     /// Version of the configuration in force; 0 for none.
     configuration: u64,
-    /// Milliseconds since the configuration was last known to be the newest; `null` if it never was.
+    /// Milliseconds since the configuration was last known to be the newest; `null` if it never
+    /// was.
     configuration_age_ms: Option<u64>,
     /// Number of upstreams that take work.
     upstreams: usize,
--- a/tests/gateway_path.rs
+++ b/tests/gateway_path.rs
@@ -1,4 +1,4 @@
-//! The gateway before the emulated platform: what callers and upstreams see.
+//! Request path of the gateway, tested end to end against the emulated platform.
 
 mod support;
 
@@ -17,7 +17,7 @@
 };
 
 #[test]
-fn a_request_reaches_an_upstream_as_the_caller_sent_it() {
+fn request_reaches_upstream_unchanged() {
     let site = Site::start(1, 1, 1);
     let mut call =
         Call::new("POST", "/confirm/a/../b?x=1&y=%2f", "r-1").header("x-tenant", "forged");
@@ -33,11 +33,11 @@
     assert_eq!(runs[0]["key_passed"], false);
     assert_eq!(runs[0]["body"], 7);
     let deadline = runs[0]["deadline_ms"].as_u64().expect("a deadline");
-    assert!(deadline <= 1_500, "the route's timeout bounds it: {deadline}");
+    assert!(deadline <= 1_500, "deadline exceeds the route's timeout: {deadline}");
 }
 
 #[test]
-fn what_is_not_allowed_is_refused_and_does_not_run() {
+fn disallowed_requests_are_refused_and_do_not_run() {
     struct Case {
         name: &'static str,
         call: Call,
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_gateway_without_a_configuration_asks_to_come_back() {
+fn gateway_without_configuration_refuses_with_retry_after() {
     let mut site = Site::bare();
     site.add_gateway();
     let gateway = &site.gateways[0];
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn failures_of_upstreams_are_handled_by_the_kind_of_route() {
+fn upstream_failures_are_handled_by_kind_of_route() {
     struct Case {
         name: &'static str,
         method: &'static str,
@@ -110,13 +110,13 @@
         runs,
     };
     let cases = [
-        case("all full: true that it did not run", "POST", "/confirm/x", "full", 503, 0),
-        case("may have run: no promise", "POST", "/confirm/x", "lose", 502, 1),
-        case("another's answer is dropped", "POST", "/confirm/x", "crossed", 502, 1),
-        case("the upstream's failure is passed on", "POST", "/confirm/x", "fail", 500, 1),
-        case("a safe call runs again", "GET", "/check/x", "lose", 502, 2),
-        case("a safe call's failure is tried again", "GET", "/check/x", "fail", 500, 2),
-        case("silence ends at the route's timeout", "POST", "/confirm/x", "silent", 504, 1),
+        case("all full: refused without a run", "POST", "/confirm/x", "full", 503, 0),
+        case("answer lost: may have run", "POST", "/confirm/x", "lose", 502, 1),
+        case("answer of another request is discarded", "POST", "/confirm/x", "crossed", 502, 1),
+        case("upstream failure is relayed", "POST", "/confirm/x", "fail", 500, 1),
+        case("safe request is retried after a lost answer", "GET", "/check/x", "lose", 502, 2),
+        case("safe request is retried after a failure", "GET", "/check/x", "fail", 500, 2),
+        case("no answer: ends at the timeout of the route", "POST", "/confirm/x", "silent", 504, 1),
     ];
     let site = Site::start(1, 0, 3);
     for case in cases {
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn one_upstream_that_is_full_or_gone_costs_no_request() {
+fn full_upstream_fails_no_request() {
     let site = Site::start(1, 0, 2);
     site.behave(Some("i-1"), "full");
     for i in 0..10 {
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_stream_that_breaks_goes_on_only_where_it_may() {
+fn interrupted_stream_resumes_only_on_resumable_routes() {
     struct Case {
         path: &'static str,
         complete: bool,
@@ -157,7 +157,7 @@
         site.behave(None, "serve");
         let first = Call::stream(case.path, "warm", 1).send(site.gateways[0].callers);
         assert!(first.expect("an answer").complete);
-        // The next one goes where the prefix is held.
+        // The next request is sent to the upstream that has the prefix cached.
         let holder = site.runs("warm").last().expect("a run")["upstream"].clone();
         site.behave(holder.as_str(), "break_midway");
         let id = case.path.replace('/', "");
@@ -167,7 +167,11 @@
         let runs = site.runs(&id);
         assert_eq!(runs.len(), case.runs, "{}: {runs:?}", case.path);
         if case.complete {
-            assert_eq!(answer.event_ids(), (1..=12).collect::<Vec<u64>>(), "none lost, none twice");
+            assert_eq!(
+                answer.event_ids(),
+                (1..=12).collect::<Vec<u64>>(),
+                "events lost or repeated"
+            );
             assert!(answer.body.ends_with("\n\n") && !answer.body.contains("\nda\n"));
             assert!(runs[1]["resume_after"].as_u64() > Some(0));
             let seal = answer.header("x-response-seal").to_owned();
@@ -191,7 +195,7 @@
 }
 
 #[test]
-fn an_upstream_that_leaves_gets_no_new_work() {
+fn draining_and_removed_upstreams_get_no_requests() {
     let site = Site::start(2, 2, 0);
     site.control("/state", &json!({ "id": "i-1", "state": "draining" }));
     site.control("/remove", &json!({ "id": "i-2" }));
@@ -203,7 +207,7 @@
         };
         about("i-1", "draining") && about("i-2", "gone") && about(&id, "ready")
     };
-    wait_until("all know the upstreams", || site.gateways.iter().all(knows));
+    wait_until("all gateways know the upstreams", || site.gateways.iter().all(knows));
     for (i, gateway) in site.gateways.iter().cycle().take(6).enumerate() {
         let request = format!("r-{i}");
         let answer = Call::stream("/plan/x", &request, 2).send(gateway.callers);
@@ -213,10 +217,10 @@
 }
 
 #[test]
-fn a_quota_holds_over_all_gateways_and_says_when_to_come_back() {
+fn quota_applies_across_gateways_and_refusals_have_retry_after() {
     let site = Site::start(2, 0, 1);
-    // The buckets start empty; twenty tokens are two calls.
-    wait_until("the bucket has filled", || {
+    // The token buckets start empty; 20 tokens suffice for two requests.
+    wait_until("the bucket is filled", || {
         let call = Call::new("GET", "/check/x", "fill").header("x-key", "small-key");
         call.send(site.gateways[0].callers).is_some_and(|a| a.status == StatusCode::OK)
     });
@@ -234,11 +238,11 @@
     assert_eq!(refused.status, StatusCode::TOO_MANY_REQUESTS);
     assert!(refused.header("retry-after").parse::<f64>().expect("seconds") > 0.0);
     let ran = (0..12).filter(|i| !site.runs(&format!("q-{i}")).is_empty()).count();
-    assert_eq!(ran, served, "what was refused did not run");
+    assert_eq!(ran, served, "refused requests must not run");
 }
 
 #[test]
-fn a_new_configuration_is_in_force_everywhere_and_stays() {
+fn new_configuration_takes_effect_on_all_gateways_and_is_not_reverted() {
     let site = Site::start(5, 0, 1);
     let mut newer = configuration(9);
     newer["routes"].as_array_mut().expect("routes").retain(|r| r["prefix"] != "/check/");
@@ -248,10 +252,10 @@
         let call = Call::new("GET", path, "c").header("x-key", key);
         call.send(g.callers).map_or(0, |a| a.status.as_u16())
     };
-    wait_until("all have it", || {
+    wait_until("all gateways use the new configuration", || {
         site.gateways.iter().all(|g| status(g, "/check/x", "rotated") == 404)
     });
-    // An older document, as a stale read might bring it, changes nothing.
+    // An older document, as a stale read may return it, must be ignored.
     site.configure(&configuration(8));
     site.configure(&newer);
     for gateway in &site.gateways {
@@ -265,7 +269,7 @@
 }
 
 #[test]
-fn requests_run_and_gateways_start_while_the_store_is_away() {
+fn requests_are_served_during_store_outage_and_lost_history_is_recovered() {
     let mut site = Site::start(2, 1, 1);
     site.store("refusing");
     let answer = Call::stream("/plan/x", "away", 3).send(site.gateways[0].callers);
@@ -279,7 +283,7 @@
     let knows = |g: &support::gateways::GatewayProc| {
         g.log().iter().any(|l| l["upstream"] == id.as_str() && l["state"] == "ready")
     };
-    wait_until("all know an upstream that came after the history was lost", || {
+    wait_until("all gateways know an upstream added after the history was lost", || {
         site.gateways.iter().all(knows)
     });
 }
@@ -292,20 +296,20 @@
     let lost = |g: &support::gateways::GatewayProc| {
         g.log().iter().any(|l| l["event"] == "dependency_lost")
     };
-    wait_until("the gateway misses the store", || lost(gateway));
+    wait_until("the gateway notices the store outage", || lost(gateway));
     site.control("/remove", &json!({ "id": "i-1" }));
     site.store("up");
     let missing =
         || gateway.log().iter().any(|l| l["upstream"] == "i-1" && l["state"] == "missing");
-    wait_until("the row is missed", missing);
+    wait_until("the row is logged as missing", missing);
     site.control("/remove", &json!({ "id": "i-1", "back": true }));
     let answer = Call::stream("/plan/x", "back", 2).send(gateway.callers).expect("an answer");
     assert_eq!((answer.status, answer.complete), (StatusCode::OK, true));
-    // A removal long after the store's return is no lapse.
+    // A removal long after the store has recovered is not a lapse.
     thread::sleep(Duration::from_millis(1_000));
     site.control("/remove", &json!({ "id": "i-2" }));
     let gone = || gateway.log().iter().any(|l| l["upstream"] == "i-2" && l["state"] == "gone");
-    wait_until("the other is gone", gone);
+    wait_until("the other upstream is gone", gone);
     let lines = gateway.log();
     assert!(!lines.iter().any(|l| l["upstream"] == "i-2" && l["state"] == "missing"));
 }
@@ -313,26 +317,27 @@
 #[test]
 fn a_gateway_that_is_stopped_cuts_off_nobody() {
     let mut site = Site::start(3, 1, 0);
-    let leaving = &site.gateways[0];
-    let (callers, address) = (leaving.callers, leaving.callers.to_string());
+    let stopped = &site.gateways[0];
+    let (callers, address) = (stopped.callers, stopped.callers.to_string());
     let stream = thread::spawn(move || Call::stream("/plan/x", "long", 100).send(callers));
-    wait_until("the stream runs", || !site.runs("long").is_empty());
-    leaving.signal(Signal::SIGHUP);
-    leaving.signal(Signal::SIGTERM);
-    wait_until("it is no longer ready", || !leaving.is_ready());
-    wait_until("the others name it no more", || {
+    wait_until("the stream has started", || !site.runs("long").is_empty());
+    stopped.signal(Signal::SIGHUP);
+    stopped.signal(Signal::SIGTERM);
+    wait_until("the gateway is no longer ready", || !stopped.is_ready());
+    wait_until("the other gateways no longer list it", || {
         site.gateways[1..].iter().all(|g| !g.told().contains(&address))
     });
-    let late = Call::stream("/plan/x", "late", 2).send(callers).expect("it still answers");
+    let late =
+        Call::stream("/plan/x", "late", 2).send(callers).expect("an answer during the drain");
     assert!(late.complete || late.status == StatusCode::SERVICE_UNAVAILABLE);
     assert_eq!(late.header("connection"), "close");
     let answer = stream.join().expect("the caller").expect("an answer");
     assert_eq!((answer.complete, answer.event_ids().len()), (true, 100));
-    assert!(site.gateways[0].wait(), "it ends with success");
+    assert!(site.gateways[0].wait(), "the process must exit with success");
 }
 
 #[test]
-fn one_process_reports_usage_and_another_goes_on() {
+fn usage_reporting_fails_over_without_double_counting() {
     let mut site = Site::start(3, 0, 1);
     for i in 0..9 {
         let call = Call::new("GET", "/check/x", &format!("u-{i}"));
@@ -341,8 +346,8 @@
             StatusCode::OK
         );
     }
-    // A successor repeats reports that it does not know to have arrived; the
-    // platform takes each window once. That repeats are exact is checked below.
+    // A successor repeats reports of which it does not know whether they arrived. The platform
+    // counts each window once; the check below ensures that repeated reports are identical.
     let counted = |site: &Site| -> u64 {
         let reports = site.duties("/usage");
         let of_window = |r: &Value| {
@@ -356,22 +361,22 @@
     let holder = first[0]["holder"].as_str().expect("a holder").to_owned();
     let n: usize = holder.rsplit('-').next().and_then(|n| n.parse().ok()).expect("its number");
     site.gateways[n - 1].kill();
-    wait_until("another reports", || {
+    wait_until("another process reports usage", || {
         site.duties("/usage").iter().any(|r| r["holder"] != holder.as_str())
     });
     let all = site.duties("/usage");
     let fences: Vec<u64> = all.iter().filter_map(|r| r["fence"].as_u64()).collect();
-    assert!(fences.is_sorted(), "a fencing number never falls: {fences:?}");
+    assert!(fences.is_sorted(), "fencing tokens must not decrease: {fences:?}");
     for report in &all {
         let same = |r: &&Value| r["body"]["windowNumber"] == report["body"]["windowNumber"];
         let mut of_window = all.iter().filter(same);
         assert!(of_window.all(|r| r["body"] == report["body"]), "{all:?}");
     }
-    assert_eq!(counted(&site), 9, "each request is counted once: {all:?}");
+    assert_eq!(counted(&site), 9, "each request must be counted once: {all:?}");
 }
 
-/// Restarted processes read what the holder kept and hear the same counts from
-/// processes that live on; each request still counts once.
+/// Guards against double counting: a restarted process reads the counts that the lease holder
+/// stored and receives the same counts from processes that kept running.
 #[test]
 fn usage_is_counted_once_through_restarts() {
     let mut site = Site::start(3, 0, 1);
@@ -387,8 +392,9 @@
             let holder = reports.last()?["holder"].as_str()?.to_owned();
             holder.rsplit('-').next()?.parse::<usize>().ok()
         };
-        wait_until("somebody reports", || holder().is_some());
-        // A process that starts now reads what the holder has kept.
+        wait_until("a process reports usage", || holder().is_some());
+        // Leaves time for the holder to store its counts, which the next process reads at its
+        // start.
         thread::sleep(Duration::from_millis(1_200));
         site.add_gateway();
         site.wait_ready();
@@ -402,43 +408,43 @@
         }
         windows.values().sum()
     };
-    // Only those that read what was kept are left to report the rest.
+    // Only processes that have read stored counts are left to report the rest.
     for old in &site.gateways[..3] {
         old.signal(Signal::SIGTERM);
     }
-    let young = |r: &Value| {
+    let by_new_process = |r: &Value| {
         let holder = r["holder"].as_str().unwrap_or_default();
         !["gateway-1", "gateway-2", "gateway-3"].contains(&holder)
     };
-    wait_until("a young one reports", || site.duties("/usage").iter().any(young));
-    wait_until("all are reported", || counted(&site) >= sent);
+    wait_until("a new process reports usage", || site.duties("/usage").iter().any(by_new_process));
+    wait_until("all requests are reported", || counted(&site) >= sent);
     let last = site.duties("/usage").last().map(|r| r["body"]["windowNumber"].clone());
-    wait_until("later windows are reported, too", || {
+    wait_until("a later window is reported", || {
         site.duties("/usage").last().map(|r| r["body"]["windowNumber"].clone()) != last
     });
     assert_eq!(counted(&site), sent);
 }
 
 #[test]
-fn the_log_tells_why_a_request_failed() {
+fn log_shows_why_a_request_failed() {
     let site = Site::start(1, 0, 1);
     site.behave(None, "lose");
     Call::new("POST", "/confirm/x", "lost").send(site.gateways[0].callers).expect("an answer");
-    wait_until("the story is written", || site.gateways[0].story("lost").len() == 3);
-    let story = site.gateways[0].story("lost");
-    let events: Vec<&str> = story.iter().filter_map(|l| l["event"].as_str()).collect();
+    wait_until("the log lines are written", || site.gateways[0].story("lost").len() == 3);
+    let lines = site.gateways[0].story("lost");
+    let events: Vec<&str> = lines.iter().filter_map(|l| l["event"].as_str()).collect();
     assert_eq!(events, ["attempt", "attempt_failed", "answered"]);
-    assert_eq!(story[1]["may_have_run"], true);
-    assert_eq!(story[2]["outcome"], "broken");
-    assert_eq!(story[2]["configuration"], 7);
+    assert_eq!(lines[1]["may_have_run"], true);
+    assert_eq!(lines[2]["outcome"], "broken");
+    assert_eq!(lines[2]["configuration"], 7);
     let metrics = site.gateways[0].metrics();
     assert!(metrics.contains("outcome=\"broken\""), "{metrics}");
 }
 
-/// Upstreams that do equally well are not all connected to: 20 calls one after the
-/// other opened connections to all four before, and open one now.
+/// Guards against opening a connection to every equally good upstream: 20 sequential requests once
+/// opened connections to all four.
 #[test]
-fn calls_one_after_the_other_use_one_connection() {
+fn sequential_requests_reuse_one_connection() {
     let site = Site::start(1, 0, 4);
     for i in 0..20 {
         let answer = Call::new("GET", "/check/x", &format!("r-{i}")).send(site.gateways[0].callers);
@@ -448,5 +454,5 @@
         .flat_map(|i| site.runs(&format!("r-{i}")))
         .map(|run| run["upstream"].to_string())
         .collect();
-    assert!(ran.len() <= 2, "one, or a second one where the first was not free yet: {ran:?}");
+    assert!(ran.len() <= 2, "at most two upstreams, the second while the first was busy: {ran:?}");
 }
