--- a/src/gateway/request/endpoints.rs
+++ b/src/gateway/request/endpoints.rs
@@ -8,7 +8,7 @@
     header::{CONTENT_TYPE, HeaderValue},
 };
 
-use super::{forward::forward, operators, status};
+use super::{forward::forward, quarantine, status};
 use crate::{
     clock,
     gateway::{
@@ -114,8 +114,8 @@
 
 fn peers(gateway: &Gateway, request: &Request<Incoming>) -> Response<AnswerBody> {
     let path = request.uri().path();
-    if let Some(rest) = path.strip_prefix(operators::QUARANTINE_PATH) {
-        return operators::quarantine(gateway, request.method(), rest);
+    if let Some(rest) = path.strip_prefix(quarantine::QUARANTINE_PATH) {
+        return quarantine::quarantine(gateway, request.method(), rest);
     }
     if let Some(after) = path.strip_prefix(UPSTREAMS_PATH) {
         return upstreams(gateway, after);
@@ -129,7 +129,7 @@
             }
         }
         status::STATUS_PATH => status::status(gateway),
-        "/peer/quarantine" => quarantine(gateway),
+        "/peer/quarantine" => quarantine_verdicts(gateway),
         "/metrics" => match gateway.metrics.text() {
             Ok(text) => {
                 with_type(text, "application/openmetrics-text; version=1.0.0; charset=utf-8")
@@ -143,7 +143,7 @@
     }
 }
 
-fn quarantine(gateway: &Gateway) -> Response<AnswerBody> {
+fn quarantine_verdicts(gateway: &Gateway) -> Response<AnswerBody> {
     match encode_verdicts(&gateway.board.borrow().crashes.verdicts()) {
         Ok(bytes) => with_type(bytes, "application/octet-stream"),
         Err(e) => {
