--- a/src/gateway/request/mod.rs
+++ b/src/gateway/request/mod.rs
@@ -1,15 +1,15 @@
-//! The way of a request: admission, attempts at upstreams, the answer.
+//! Request path: admission, upstream selection, attempts and relaying of the answer.
 
 mod admit;
 mod attempt;
 mod crash;
-mod doors;
+mod endpoints;
 mod events;
 mod forward;
-mod grants;
 mod in_flight;
-mod operators;
 mod outcome;
+mod permits;
+mod quarantine;
 mod refusal;
 mod relay;
 mod report;
@@ -19,8 +19,8 @@
 
 pub use admit::{Admitted, admit};
 pub use crash::EndChecks;
-pub use doors::{Door, DoorKind};
+pub use endpoints::{Door, DoorKind};
 pub use events::EventSplitter;
-pub use grants::Grants;
 pub use outcome::Outcome;
+pub use permits::Grants;
 pub use refusal::Refusal;
