--- a/src/platform/configuration.rs
+++ b/src/platform/configuration.rs
@@ -9,16 +9,16 @@
     CallerLimits, Configuration, Customer, EngineKind, Quota, RequestKind, Route, Scaling, Service,
 };
 
-/// Bounds used where the document names none, as in the platform's examples.
+/// Maximum size of a request head if the document sets none, as in the platform's examples.
 const DEFAULT_HEADER_BYTES: usize = 16_384;
-/// See [`DEFAULT_HEADER_BYTES`].
+/// Maximum size of a request body if the document sets none, as in the platform's examples.
 const DEFAULT_BODY_BYTES: usize = 4_194_304;
-/// See [`DEFAULT_HEADER_BYTES`].
+/// Idle timeout of connections if the document sets none, as in the platform's examples.
 const DEFAULT_IDLE_MS: f64 = 15_000.0;
 
-/// Longest time in the document: a day bounds no request of a caller, and can be
-/// added to a clock.
-const LONGEST: Duration = Duration::from_secs(86_400);
+/// Upper bound on times in the document. No request takes a day, and adding it to an `Instant`
+/// cannot overflow.
+const MAX_DURATION: Duration = Duration::from_secs(86_400);
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
@@ -48,16 +48,16 @@
     service: Option<String>,
     #[serde(default)]
     traffic_split: Vec<WireShare>,
-    #[serde(default = "one")]
+    #[serde(default = "default_max_attempts")]
     max_attempts: u32,
-    /// The route needs no key.
+    /// Whether requests need no API key.
     #[serde(default)]
     public: bool,
     #[serde(default)]
     stream_resume: bool,
 }
 
-fn one() -> u32 {
+fn default_max_attempts() -> u32 {
     1
 }
 
@@ -91,14 +91,14 @@
     max_replicas: u32,
     #[serde(default)]
     boot_s: f64,
-    /// A share of the price of other engines, not a price.
-    #[serde(default = "whole")]
+    /// Price as a fraction of the price of engines that are not reclaimable.
+    #[serde(default = "default_spot_price")]
     spot_price: f64,
     #[serde(default)]
     zone_prices: HashMap<String, f64>,
 }
 
-fn whole() -> f64 {
+fn default_spot_price() -> f64 {
     1.0
 }
 
@@ -117,7 +117,7 @@
     #[serde(default)]
     api_keys: Vec<String>,
     priority: Option<u8>,
-    /// Counted in the tenant's unit, which is tokens here; 0 means no limit.
+    /// Rate in the tenant's unit, which is tokens here; 0 means no limit.
     #[serde(default)]
     rate_per_s: f64,
     #[serde(default)]
@@ -130,7 +130,7 @@
 ///
 /// # Errors
 ///
-/// Fails if the document does not have the published form.
+/// Fails if the document does not match the published schema.
 pub fn decode_configuration(bytes: &[u8]) -> Result<Configuration, PlatformError> {
     let wire: WireConfiguration =
         serde_json::from_slice(bytes).map_err(PlatformError::malformed("configuration"))?;
@@ -145,14 +145,14 @@
 }
 
 fn seconds(s: f64) -> Duration {
-    Duration::from_secs_f64(s.clamp(0.0, LONGEST.as_secs_f64()))
+    Duration::from_secs_f64(s.clamp(0.0, MAX_DURATION.as_secs_f64()))
 }
 
 fn route(wire: WireRoute) -> Route {
     let kind = match wire.kind.as_str() {
         "safe" => RequestKind::Safe,
         "streaming" => RequestKind::Streaming,
-        // An unknown kind gets the strictest terms.
+        // Unknown kinds get the most restrictive treatment: at most one run.
         _ => RequestKind::Unsafe,
     };
     let mut targets: Vec<(String, u32)> =
--- a/src/platform/duties.rs
+++ b/src/platform/duties.rs
@@ -1,4 +1,4 @@
-//! Calls that only the holder of a lease makes: usage reports and orders of engines.
+//! Calls that only the holder of a lease makes: usage reports and engine orders.
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
 
@@ -14,31 +14,31 @@
     ids::DataCentre,
 };
 
-/// Longest time to open a connection to the platform's API.
+/// Timeout for opening a connection to the platform's API.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest wait for an answer: a lost call is made again while the lease holds.
+/// Timeout for an answer; a call without one is retried while the lease is held.
 const CALL_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// An order of engines of one kind for a service in a data centre.
+/// An order that sets the number of engines of one kind for a service in a data centre.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct EngineOrder {
-    /// Service.
+    /// Service that the engines run.
     pub service: ServiceName,
-    /// Data centre.
+    /// Data centre that the engines run in.
     pub data_centre: DataCentre,
-    /// Whether the engines may be reclaimed.
+    /// Whether the order is for reclaimable engines.
     pub reclaimable: bool,
-    /// Number of engines of this kind that should run there.
+    /// Desired total number of engines of this kind in the data centre.
     pub count: u32,
 }
 
-/// What became of an order.
+/// Outcome of an engine order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderOutcome {
-    /// It is carried out.
+    /// The platform carries the order out.
     Accepted,
-    /// No engines of this kind are to be had there at the moment.
+    /// No engines of this kind are available in the data centre at the moment.
     NoneAvailable,
 }
 
@@ -59,7 +59,7 @@
     spot: bool,
 }
 
-/// Client of the platform's API, for the holder of a lease.
+/// Client of the platform API calls that need a lease.
 #[derive(Clone, Debug)]
 pub struct DutyClient {
     address: SocketAddr,
@@ -67,18 +67,17 @@
 }
 
 impl DutyClient {
-    /// Creates a client for the process `holder`.
+    /// Creates a client of the API at `address`, for the gateway with identifier `holder`.
     pub fn new(address: SocketAddr, holder: String) -> Self {
         Self { address, holder }
     }
 
-    /// Reports how many requests of each customer began in a window. `fence`
-    /// returns the fencing number while the lease is held; it is asked right
-    /// before the call is sent.
+    /// Reports how many requests of each customer began in a window. `fence` returns the
+    /// fencing token while the lease is held; it is called right before the report is sent.
     ///
     /// # Errors
     ///
-    /// Fails if the platform did not take the report, or may not have.
+    /// Fails if the platform did not accept the report or did not confirm it.
     pub async fn report_usage(
         &self,
         fence: impl Fn() -> Option<u64>,
@@ -93,11 +92,11 @@
         }
     }
 
-    /// Orders engines; `fence` as for [`Self::report_usage`].
+    /// Orders engines; `fence` is used as in [`Self::report_usage`].
     ///
     /// # Errors
     ///
-    /// Fails if the platform did not take the order, or may not have.
+    /// Fails if the platform did not accept the order or did not confirm it.
     pub async fn order_engines(
         &self,
         fence: impl Fn() -> Option<u64>,
@@ -131,7 +130,7 @@
         if let Ok(holder) = HeaderValue::from_str(&self.holder) {
             headers.insert("x-duty-holder", holder);
         }
-        // Asked for last: opening the connection may have taken long.
+        // Checked last: the lease may have ended while the connection was opened.
         let fence = fence().ok_or(PlatformError::LeaseLost)?;
         headers.insert("x-fencing-token", HeaderValue::from(fence));
         let called = tokio::time::timeout(CALL_TIMEOUT, connection.call(request)).await;
--- a/src/platform/error.rs
+++ b/src/platform/error.rs
@@ -1,36 +1,36 @@
-//! Why a call to the platform brought no usable answer.
+//! Errors of calls to the platform.
 
 use thiserror::Error;
 
 use crate::gateway::net::{CallError, ConnectError};
 
-/// Why a call to the platform brought no usable answer.
+/// Why a call to the platform failed.
 #[derive(Debug, Error)]
 pub enum PlatformError {
-    /// No connection; the call was not sent.
+    /// The connection could not be opened; the call was not sent.
     #[error("cannot connect: {0}")]
     Connect(#[from] ConnectError),
-    /// The connection ended; a write may have been done.
+    /// The connection ended before the whole answer arrived; a write may have been applied.
     #[error("no answer: {0}")]
     Http(#[from] CallError),
-    /// No answer in time; a write may have been done.
+    /// No answer arrived in time; a write may have been applied.
     #[error("no answer in time")]
     Timeout,
-    /// Refused for now, by status: nothing was done.
+    /// The platform refused the call with this HTTP status; nothing was applied.
     #[error("refused with status {0}")]
     Refused(u16),
-    /// The history that a feed asked for is no longer kept.
+    /// The store no longer keeps the changes since the requested revision.
     #[error("the history is no longer kept")]
     HistoryLost,
-    /// The lease ended before the call was sent.
+    /// The lease ended before the call was sent; nothing was applied.
     #[error("the lease ended before the call was sent")]
     LeaseLost,
-    /// The answer or document is not as published.
+    /// The answer or document does not match the published schema.
     #[error("{what}: {source}")]
     Malformed {
-        /// Which document.
+        /// Kind of document, for the error message.
         what: &'static str,
-        /// Why it cannot be read.
+        /// Error of the JSON decoder.
         source: serde_json::Error,
     },
 }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -1,4 +1,4 @@
-//! Headers of requests and answers.
+//! HTTP headers of requests and responses.
 
 use std::time::Duration;
 
@@ -10,31 +10,31 @@
 
 use crate::prefix;
 
-/// Names one client attempt; engines echo it.
+/// Identifier of one client attempt; engines echo it in their answers.
 const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// Milliseconds for which the sender will wait.
+/// Time that the sender waits for the answer, in milliseconds.
 const DEADLINE: HeaderName = HeaderName::from_static("x-deadline-ms");
-/// The caller's key; never passed on.
-const KEY: HeaderName = HeaderName::from_static("x-key");
-/// Name of the customer, set for the upstream.
+/// The caller's API key; never forwarded.
+const API_KEY: HeaderName = HeaderName::from_static("x-key");
+/// Name of the customer, set on requests to upstreams.
 const CUSTOMER: HeaderName = HeaderName::from_static("x-tenant");
-/// Identifier of the only upstream that may run the request.
+/// Identifier of the only upstream that may run the request; any other rejects it.
 const EXPECT_INSTANCE: HeaderName = HeaderName::from_static("x-expect-instance");
-/// Rank at the engine, 0 to 9; 0 is the most urgent.
+/// Scheduling priority at the engine, 0 to 9; 0 is the most urgent.
 const PRIORITY: HeaderName = HeaderName::from_static("x-request-priority");
-/// The upstream did not run the request.
+/// Set by the upstream on an answer to a request that it did not run.
 const NOT_EXECUTED: HeaderName = HeaderName::from_static("x-not-executed");
-/// The upstream's signature over its answer.
-const SEAL: HeaderName = HeaderName::from_static("x-response-seal");
-/// Prompt tokens and output tokens at most, separated by a comma.
-const TOKENS: HeaderName = HeaderName::from_static("x-token-usage");
-/// Parts of the prompt in order: ID:TOKENS, separated by commas.
-const PROMPT_PARTS: HeaderName = HeaderName::from_static("x-prompt-prefix");
-/// Last event that the caller has; the answer goes on after it.
-const LAST_EVENT: HeaderName = HeaderName::from_static("last-event-id");
-
-/// Headers that concern one connection only.
-const HOP_HEADERS: [HeaderName; 8] = [
+/// Signature of the upstream over its answer.
+const RESPONSE_SEAL: HeaderName = HeaderName::from_static("x-response-seal");
+/// Number of prompt tokens and maximum number of output tokens, separated by a comma.
+const TOKEN_USAGE: HeaderName = HeaderName::from_static("x-token-usage");
+/// Parts of the prompt in order, each as ID:TOKENS, separated by commas.
+const PROMPT_PREFIX: HeaderName = HeaderName::from_static("x-prompt-prefix");
+/// Identifier of the last event that the caller received; the stream resumes after it.
+const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
+
+/// Hop-by-hop headers, which apply to a single connection.
+const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
     CONNECTION,
     TE,
     TRAILER,
@@ -45,16 +45,16 @@
     HeaderName::from_static("upgrade"),
 ];
 
-/// Headers that only this system may set towards an upstream.
-const OWN_HEADERS: [HeaderName; 10] = [
-    KEY,
+/// Headers that only this system may set on requests to upstreams.
+const INTERNAL_HEADERS: [HeaderName; 10] = [
+    API_KEY,
     CUSTOMER,
     EXPECT_INSTANCE,
     PRIORITY,
     HeaderName::from_static("x-expect-version"),
     HeaderName::from_static("x-hold"),
-    // Keeps a finished request's cache from yielding to others; a caller that
-    // sets it would take memory from all the others at that engine.
+    // Pins the KV cache of a finished request; a caller that set it would take
+    // memory from all other callers of that engine.
     HeaderName::from_static("x-pin-ms"),
     HeaderName::from_static("x-kv-backup"),
     HeaderName::from_static("kv-from"),
@@ -64,32 +64,33 @@
 /// The prompt of a request to a model engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Tokens of the whole prompt.
+    /// Number of tokens of the whole prompt.
     pub tokens: u32,
-    /// Tokens that the engine may generate at most.
+    /// Maximum number of tokens that the engine may generate.
     pub max_output: u32,
-    /// Parts in order: fingerprint and tokens. The last is the request's own.
+    /// Parts in order, each with its fingerprint and number of tokens. The last part
+    /// is specific to this request.
     pub parts: Vec<(prefix::Fingerprint, u32)>,
 }
 
-/// What the head of a request says to this system.
+/// Fields of a request head that this system uses.
 #[derive(Clone, Debug)]
 pub struct RequestHead {
-    /// Identifier of the caller's attempt; empty if it sent none.
+    /// Identifier of the caller's attempt; empty if the header is missing.
     pub id: String,
-    /// Host that is asked for, without a port.
+    /// Requested host in lower case, without the port; empty if there is none.
     pub host: String,
-    /// Path that is asked for.
+    /// Requested path, without the query.
     pub path: String,
-    /// For how long the caller will wait.
+    /// Time that the caller waits for the answer; `None` if it states none.
     pub patience: Option<Duration>,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// The prompt, for model engines.
+    /// Description of the prompt; `None` if the request is not for a model engine.
     pub prompt: Option<Prompt>,
 }
 
-/// Decodes the head of a request.
+/// Decodes the head of a request. Header values that cannot be read count as missing.
 pub fn decode_head(parts: &Parts) -> RequestHead {
     let text = |name: &HeaderName| parts.headers.get(name).and_then(|v| v.to_str().ok());
     let host = text(&HOST).or(parts.uri.authority().map(|a| a.as_str())).unwrap_or_default();
@@ -100,8 +101,8 @@
         host: host.to_ascii_lowercase(),
         path: parts.uri.path().to_owned(),
         patience,
-        key: text(&KEY).map(str::to_owned),
-        prompt: text(&TOKENS).and_then(|tokens| prompt(tokens, text(&PROMPT_PARTS))),
+        key: text(&API_KEY).map(str::to_owned),
+        prompt: text(&TOKEN_USAGE).and_then(|tokens| prompt(tokens, text(&PROMPT_PREFIX))),
     }
 }
 
@@ -118,8 +119,8 @@
     })
 }
 
-/// Removes what must not be passed on: headers of one connection, and those
-/// that only this system sets.
+/// Removes the headers that must not be forwarded: hop-by-hop headers and those
+/// that only this system may set.
 pub fn strip_hop_headers(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -128,30 +129,30 @@
         .flat_map(|v| v.split(','))
         .filter_map(|name| name.trim().parse().ok())
         .collect();
-    for name in HOP_HEADERS.iter().chain(&listed) {
+    for name in HOP_BY_HOP_HEADERS.iter().chain(&listed) {
         headers.remove(name);
     }
-    for name in &OWN_HEADERS {
+    for name in &INTERNAL_HEADERS {
         headers.remove(name);
     }
 }
 
-/// What this system says to an upstream about one attempt.
+/// Headers that this system sets on one attempt at an upstream.
 #[derive(Clone, Debug)]
 pub struct Attempt<'a> {
-    /// Time in which the answer is of use.
+    /// Time left until the deadline of the request.
     pub time_left: Duration,
-    /// The upstream that is meant.
+    /// Identifier of the upstream that the attempt is sent to.
     pub upstream: &'a str,
-    /// The customer, if the request has one.
+    /// Name of the customer; `None` if the request belongs to no customer.
     pub customer: Option<&'a str>,
-    /// Rank, 0 to 9.
+    /// Priority, 0 (most urgent) to 9; `None` leaves the header out.
     pub priority: Option<u8>,
-    /// Last event that was passed on, if the stream goes on after it.
+    /// Identifier of the last event forwarded to the caller, if the attempt resumes a stream.
     pub resume_after: Option<&'a str>,
 }
 
-/// Writes the headers of one attempt into those of the request.
+/// Sets the headers of one attempt on a request.
 pub fn stamp_attempt(headers: &mut HeaderMap, attempt: &Attempt<'_>) {
     headers.remove(CONTENT_LENGTH);
     headers.insert(DEADLINE, HeaderValue::from(attempt.time_left.as_millis().max(1) as u64));
@@ -161,7 +162,7 @@
         headers.insert(PRIORITY, HeaderValue::from(u16::from(priority.min(9))));
     }
     if attempt.resume_after.is_some() {
-        set(headers, LAST_EVENT, attempt.resume_after);
+        set(headers, LAST_EVENT_ID, attempt.resume_after);
     }
 }
 
@@ -173,36 +174,37 @@
     }
 }
 
-/// Returns whether the upstream says that it did not run the request.
+/// Returns whether the upstream reports that it did not run the request.
 pub fn is_not_executed(status: StatusCode, headers: &HeaderMap) -> bool {
     headers.contains_key(NOT_EXECUTED) || status == StatusCode::MISDIRECTED_REQUEST
 }
 
-/// Returns whether an answer belongs to the request `id`: engines send answers
-/// of earlier requests late at times.
+/// Returns whether an answer belongs to the request `id`. Engines occasionally send
+/// a late answer to an earlier request.
 pub fn same_request(headers: &HeaderMap, id: &str) -> bool {
     headers.get(REQUEST_ID).is_none_or(|v| v.as_bytes() == id.as_bytes())
 }
 
-/// Returns whether an answer bears its upstream's signature.
+/// Returns whether an answer carries the signature of its upstream.
 pub fn is_signed(headers: &HeaderMap) -> bool {
-    headers.contains_key(SEAL)
+    headers.contains_key(RESPONSE_SEAL)
 }
 
-/// Returns whether an answer claims success without the upstream's signature.
+/// Returns whether an answer has a success status but no signature of its upstream.
 pub fn seal_missing(status: StatusCode, headers: &HeaderMap) -> bool {
     status.is_success() && !is_signed(headers)
 }
 
-/// Returns the seconds for which the upstream keeps an idle connection open,
-/// if it says so.
+/// Returns how long the upstream keeps an idle connection open, from its
+/// `Keep-Alive` header; `None` if it states no timeout.
 pub fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get("keep-alive")?.to_str().ok()?;
     let timeout = value.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
     timeout.parse().ok().map(Duration::from_secs)
 }
 
-/// Returns whether the upstream closes the connection after this answer.
+/// Returns whether the upstream closes the connection after this answer
+/// (`Connection: close`).
 pub fn closes(headers: &HeaderMap) -> bool {
     let values = headers.get_all(CONNECTION);
     let mut tokens = values.iter().filter_map(|v| v.to_str().ok()).flat_map(|v| v.split(','));
--- a/src/platform/lookup.rs
+++ b/src/platform/lookup.rs
@@ -1,19 +1,18 @@
-//! Questions of callers that carry no request: which addresses to use, and
-//! whether this process is ready.
+//! Calls that this process answers itself: address lookups and readiness probes.
 
 use std::net::SocketAddr;
 
 use hyper::{Method, Uri};
 use serde::Serialize;
 
-/// A caller's question which addresses to use.
+/// A caller's lookup of the gateway addresses to use.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Lookup {
-    /// Data centre that the caller is in, if it says so.
+    /// Data centre of the caller; `None` if it does not state one.
     pub data_centre: Option<String>,
 }
 
-/// Decodes the question; `None` for another call.
+/// Decodes a lookup; returns `None` if the call is not one.
 pub fn decode_lookup(method: &Method, uri: &Uri) -> Option<Lookup> {
     if method != Method::GET || uri.path() != "/resolve" {
         return None;
@@ -24,7 +23,7 @@
     Some(Lookup { data_centre })
 }
 
-/// Returns whether the call asks if this process is ready.
+/// Returns whether the call is a readiness probe.
 pub fn is_ready_probe(method: &Method, uri: &Uri) -> bool {
     method == Method::GET && uri.path() == "/ready"
 }
@@ -33,12 +32,12 @@
 #[serde(rename_all = "camelCase")]
 struct WireAddresses<'a> {
     addresses: &'a [SocketAddr],
-    /// Seconds for which the caller keeps the answer.
+    /// Time for which the caller may cache the answer, in seconds.
     ttl_s: u64,
 }
 
-/// Encodes the answer to a [`Lookup`].
-pub fn encode_addresses(addresses: &[SocketAddr], keep_seconds: u64) -> Vec<u8> {
-    let wire = WireAddresses { addresses, ttl_s: keep_seconds };
+/// Encodes the answer to a [`Lookup`], which the caller may cache for `ttl_s` seconds.
+pub fn encode_addresses(addresses: &[SocketAddr], ttl_s: u64) -> Vec<u8> {
+    let wire = WireAddresses { addresses, ttl_s };
     serde_json::to_vec(&wire).expect("addresses and a number always encode")
 }
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -1,8 +1,8 @@
-//! Adapter between the users' platform and the gateway.
+//! Adapter between the platform's protocol and the gateway.
 //!
-//! This folder alone knows the names that the platform, its upstreams and its
-//! callers use. It translates each message once, in either direction, and
-//! holds no decision and no state beyond one call.
+//! The names that the platform, its upstreams and its callers use appear only in this
+//! module. It translates each message once, in either direction; it makes no decisions
+//! and keeps no state between calls.
 
 mod configuration;
 mod duties;
--- a/src/platform/rollouts.rs
+++ b/src/platform/rollouts.rs
@@ -1,4 +1,4 @@
-//! Orders to roll out a version, and what the operator reads of them.
+//! Roll-out orders and their status rows in the store.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use super::PlatformError;
 use crate::gateway::model::{ServiceName, UpstreamVersion};
 
-/// What the keys of these rows begin with; the service follows.
-const PREFIX: &str = "rollout/";
-/// Longest time that an order gives: a day can be added to a clock.
-const LONGEST_S: f64 = 86_400.0;
+/// Prefix of the keys of roll-out rows; the service name follows.
+const KEY_PREFIX: &str = "rollout/";
+/// Upper bound on the duration of an order, so that adding it to an `Instant` cannot overflow.
+const MAX_DURATION_S: f64 = 86_400.0;
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
@@ -26,62 +26,62 @@
     destination: String,
 }
 
-/// How far a roll-out has got, as the operator reads it.
+/// State of a roll-out, as reported to the operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutState {
-    /// It goes on.
+    /// Traffic is being moved to the new version.
     Running,
-    /// All traffic has moved; the earlier upstreams stop at once.
+    /// All traffic goes to the new version; upstreams of the previous version stop at once.
     Completed,
-    /// All traffic is back.
+    /// All traffic is back on the previous version.
     RolledBack,
 }
 
-/// An order as the operator wrote it.
+/// A roll-out order as written by the operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RolloutDocument {
-    /// The service.
+    /// Service whose version is changed.
     pub service: ServiceName,
-    /// The version that is to get the traffic.
+    /// Version that the traffic moves to.
     pub destination: UpstreamVersion,
-    /// Time until it must have ended.
+    /// Time within which the roll-out must end; at most a day.
     pub duration: Duration,
 }
 
-/// Returns the service whose roll-out a row is about; `None` for other rows.
+/// Returns the service named by the key of a roll-out row, or `None` for any other key.
 pub fn rollout_service(key: &str) -> Option<&str> {
-    key.strip_prefix(PREFIX).filter(|service| !service.is_empty())
+    key.strip_prefix(KEY_PREFIX).filter(|service| !service.is_empty())
 }
 
-/// Returns the key of the rows about a service's roll-out.
+/// Returns the key of a service's roll-out rows: the order and its status.
 pub fn rollout_key(service: &str) -> String {
-    format!("{PREFIX}{service}")
+    format!("{KEY_PREFIX}{service}")
 }
 
-/// Decodes an order.
+/// Decodes a roll-out order.
 ///
 /// # Errors
 ///
-/// Fails if the document does not have the published form.
+/// Fails if the document does not match the published schema.
 pub fn decode_rollout(bytes: &[u8]) -> Result<RolloutDocument, PlatformError> {
     let wire: WireOrder =
         serde_json::from_slice(bytes).map_err(PlatformError::malformed("order to roll out"))?;
-    let duration = Duration::from_secs_f64(wire.duration_s.clamp(0.0, LONGEST_S));
+    let duration = Duration::from_secs_f64(wire.duration_s.clamp(0.0, MAX_DURATION_S));
     Ok(RolloutDocument { service: wire.service, destination: wire.destination, duration })
 }
 
-/// Encodes what the operator reads.
+/// Encodes the status row of a roll-out.
 pub fn encode_rollout_status(state: RolloutState, destination: &str) -> Vec<u8> {
     let wire = WireStatus { state, destination: destination.to_owned() };
     serde_json::to_vec(&wire).expect("texts always encode")
 }
 
-/// Decodes what the operator reads.
+/// Decodes the status row of a roll-out.
 ///
 /// # Errors
 ///
-/// Fails if it does not have the published form.
+/// Fails if the row does not match the published schema.
 pub fn decode_rollout_status(bytes: &[u8]) -> Result<(RolloutState, String), PlatformError> {
     let wire: WireStatus =
         serde_json::from_slice(bytes).map_err(PlatformError::malformed("state of a roll-out"))?;
--- a/src/platform/signals.rs
+++ b/src/platform/signals.rs
@@ -1,4 +1,4 @@
-//! What an upstream says of itself in the head of an answer.
+//! Signals that an upstream sends about itself in the headers of an answer.
 
 use std::time::{Duration, UNIX_EPOCH};
 
@@ -11,44 +11,44 @@
 
 use crate::time::UnixMillis;
 
-/// Requests a second that the upstream takes from all callers together.
+/// Rate limit of the upstream for all callers together, in requests per second.
 const RATE_LIMIT: HeaderName = HeaderName::from_static("server-limit");
-/// Whether the upstream leaves: finishes its work and takes none.
-const LEAVING: HeaderName = HeaderName::from_static("server-leaving");
-/// Characters of a bad signal that are shown.
-const LONGEST_SHOWN: usize = 40;
+/// Whether the upstream is leaving: it finishes its work and accepts no more.
+const SERVER_LEAVING: HeaderName = HeaderName::from_static("server-leaving");
+/// Maximum number of characters of an invalid signal that an error message quotes.
+const MAX_QUOTED_CHARS: usize = 40;
 
-/// Longest rest that is kept, however long it is asked for.
-const LONGEST_REST: Duration = Duration::from_secs(86_400);
+/// Upper bound on the back-off that an upstream can ask for.
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(86_400);
 
-/// Why a signal of an upstream cannot be used.
+/// Why a signal of an upstream is invalid.
 #[derive(Debug, Error)]
 pub enum SignalError {
-    /// It is not a number of requests a second.
+    /// The rate limit is not a finite number that is zero or more.
     #[error("{0:?} is not a rate of requests")]
     Rate(String),
-    /// It is not a time to wait, or a date.
+    /// The `Retry-After` value is neither a number of seconds nor an HTTP date.
     #[error("{text:?} is no time to wait: {source}")]
     Wait {
-        /// What it says.
+        /// Value of the header, shortened.
         text: String,
-        /// Why it is no date.
+        /// Why it does not parse as a date.
         source: httpdate::Error,
     },
 }
 
-/// Returns whether the upstream says that it leaves.
+/// Returns whether the upstream announces that it is leaving.
 pub fn says_leaving(headers: &HeaderMap) -> bool {
-    headers.get_all(LEAVING).iter().any(|v| v.as_bytes().trim_ascii() == b"1")
+    headers.get_all(SERVER_LEAVING).iter().any(|v| v.as_bytes().trim_ascii() == b"1")
 }
 
-/// Decodes for how long the upstream wants no requests from this process, by an answer that
-/// turns one away. Of several times the longest counts. A date is compared with `time`, this
-/// process's time of day.
+/// Decodes the back-off that the upstream requests from this process with `Retry-After` on an
+/// answer with status 429 or 503. If there are several values, the longest one applies. Dates
+/// are relative to `time`, the wall-clock time of this process.
 ///
 /// # Errors
 ///
-/// Fails if one of them is neither a number of seconds nor a date.
+/// Fails if a value is neither a number of seconds nor an HTTP date.
 pub fn decode_rest(
     status: StatusCode,
     headers: &HeaderMap,
@@ -59,37 +59,40 @@
     }
     let mut longest: Option<Duration> = None;
     for value in headers.get_all(RETRY_AFTER) {
-        longest = longest.max(Some(decode_wait(value, time)?));
+        longest = longest.max(Some(decode_retry_after_value(value, time)?));
     }
     Ok(longest)
 }
 
-fn decode_wait(value: &HeaderValue, time: UnixMillis) -> Result<Duration, SignalError> {
+fn decode_retry_after_value(
+    value: &HeaderValue,
+    time: UnixMillis,
+) -> Result<Duration, SignalError> {
     let text = text(value);
     let seconds = text.parse::<f64>().ok().filter(|s| !s.is_nan() && *s >= 0.0);
     if let Some(seconds) = seconds {
-        return Ok(Duration::from_secs_f64(seconds.min(LONGEST_REST.as_secs_f64())));
+        return Ok(Duration::from_secs_f64(seconds.min(MAX_RETRY_AFTER.as_secs_f64())));
     }
     let date = parse_http_date(&text)
-        .map_err(|source| SignalError::Wait { text: shown(&text), source })?;
+        .map_err(|source| SignalError::Wait { text: quoted(&text), source })?;
     let until = date.duration_since(UNIX_EPOCH).unwrap_or_default();
-    Ok(until.saturating_sub(Duration::from_millis(time)).min(LONGEST_REST))
+    Ok(until.saturating_sub(Duration::from_millis(time)).min(MAX_RETRY_AFTER))
 }
 
 fn text(value: &HeaderValue) -> String {
     String::from_utf8_lossy(value.as_bytes()).trim().to_owned()
 }
 
-fn shown(text: &str) -> String {
-    text.chars().take(LONGEST_SHOWN).collect()
+fn quoted(text: &str) -> String {
+    text.chars().take(MAX_QUOTED_CHARS).collect()
 }
 
-/// Decodes the requests a second that the upstream takes from all callers together; `None`
-/// if it names no limit. Of several the lowest counts.
+/// Decodes the rate limit of the upstream for all callers together, in requests per second;
+/// `None` if it states no limit. If there are several values, the lowest one applies.
 ///
 /// # Errors
 ///
-/// Fails if one of them is not a number, infinite or negative.
+/// Fails if a value is not a number, infinite or negative.
 pub fn decode_rate_limit(headers: &HeaderMap) -> Result<Option<f64>, SignalError> {
     let mut lowest: Option<f64> = None;
     for value in headers.get_all(RATE_LIMIT) {
@@ -102,5 +105,5 @@
 fn decode_rate(value: &HeaderValue) -> Result<f64, SignalError> {
     let text = text(value);
     let rate = text.parse::<f64>().ok().filter(|rate| rate.is_finite() && *rate >= 0.0);
-    rate.ok_or_else(|| SignalError::Rate(shown(&text)))
+    rate.ok_or_else(|| SignalError::Rate(quoted(&text)))
 }
--- a/src/platform/store.rs
+++ b/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! The platform's metadata store: rows with versions, and feeds of changes.
+//! Client of the platform's metadata store: versioned rows and feeds of their changes.
 
 use std::{
     cell::RefCell,
@@ -22,33 +22,33 @@
     },
 };
 
-/// Longest time to open a connection to the store.
+/// Timeout for opening a connection to the store.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Longest wait for the answer to a read or write. The store answers within
-/// some ten milliseconds; it may be sixty times slower at times.
+/// Timeout for the answer to a read or write. The store normally answers within about
+/// 10 ms, but can be sixty times slower.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// What a feed's answer may take beyond the wait that was asked for.
-const FEED_SLACK: Duration = Duration::from_millis(1_500);
-/// Rows in one page of an answer; the store's own bound.
+/// Time that the answer to a feed call may take beyond the requested wait.
+const FEED_GRACE: Duration = Duration::from_millis(1_500);
+/// Rows per page; the maximum that the store allows.
 const PAGE_ROWS: usize = 500;
-/// Idle connections that are kept.
-const IDLE_KEPT: usize = 3;
-/// For how long a connection is kept after an answer. One that has fallen silent since
-/// would cost whoever uses it [`CALL_TIMEOUT`], and a new one is open at once.
-const KEPT_FOR: Duration = Duration::from_millis(1_000);
+/// Maximum number of idle connections.
+const MAX_IDLE_CONNECTIONS: usize = 3;
+/// Time after its last answer for which a connection is reused. A call on a connection that
+/// has died since then would take [`CALL_TIMEOUT`] to fail; opening a new one is fast.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A table of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Table {
-    /// Written by the operator: the configuration.
+    /// The configuration and roll-out orders, written by the operator.
     Operator,
-    /// Written by the upstreams: their descriptions.
+    /// Descriptions of upstreams, written by the upstreams.
     Upstreams,
-    /// Written by the gateways: how far roll-outs have got, for the operator.
+    /// Progress of roll-outs, written by the gateways for the operator.
     Status,
-    /// Written by the gateways: their addresses.
+    /// Addresses of the gateways, written by themselves.
     Members,
-    /// Written by the gateways: leases and what their holders must not forget.
+    /// Leases and the durable state of their holders, written by the gateways.
     Duties,
 }
 
@@ -67,22 +67,22 @@
 /// A row with its decoded value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreRow {
-    /// Key.
+    /// Key, unique within its table.
     pub key: String,
-    /// Value; empty if it could not be decoded.
+    /// Value; empty if it was not valid base64.
     pub value: Vec<u8>,
-    /// Revision at which it was written.
+    /// Revision of the store at which the row was written.
     pub revision: Revision,
 }
 
-/// Rows of a table as of one moment.
+/// Rows of a table at one point in time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The rows, with keys in ascending order.
+    /// Rows in ascending order of their keys.
     pub rows: Vec<StoreRow>,
-    /// Newest revision of the store at that moment.
+    /// Newest revision of the store when the rows were read.
     pub revision: Revision,
-    /// That moment by the store's clock.
+    /// Time of the read by the store's clock.
     pub as_of: StoreMillis,
 }
 
@@ -98,15 +98,15 @@
 /// Changes since a revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Feed {
-    /// The changes, in order.
+    /// Changes in order of their revisions.
     pub changes: Vec<Change>,
-    /// Revision from which to go on.
+    /// Revision to pass to the next call as `after`.
     pub revision: Revision,
-    /// Moment by the store's clock up to which there were no others.
+    /// Time by the store's clock up to which the changes are complete.
     pub as_of: StoreMillis,
 }
 
-/// A row to be written if it is still at a revision.
+/// A write of a row, optionally conditional on its revision.
 #[derive(Clone, Debug)]
 pub struct RowWrite {
     /// Table of the row.
@@ -115,32 +115,32 @@
     pub key: String,
     /// New value.
     pub value: Vec<u8>,
-    /// Revision that the row must have, 0 for a row that must not exist;
-    /// `None` writes in any case.
+    /// Revision that the row must have, or 0 if it must not exist; `None` writes
+    /// unconditionally.
     pub expected: Option<Revision>,
 }
 
-/// What became of a conditional write.
+/// Outcome of a conditional write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It was done, at this revision.
+    /// The write was applied at this revision.
     Done(Revision),
-    /// A row was not as expected; the rows as they are now.
+    /// A row did not have the expected revision and nothing was written; the current rows.
     Conflict(Vec<StoreRow>),
 }
 
-/// A connection between calls.
+/// An idle connection.
 #[derive(Debug)]
-struct Kept {
+struct IdleConnection {
     connection: HttpConnection,
-    answered: Instant,
+    last_answer: Instant,
 }
 
 /// Client of the store.
 #[derive(Debug)]
 pub struct StoreClient {
     address: SocketAddr,
-    idle: RefCell<Vec<Kept>>,
+    idle: RefCell<Vec<IdleConnection>>,
 }
 
 impl StoreClient {
@@ -149,12 +149,12 @@
         Self { address, idle: RefCell::default() }
     }
 
-    /// Reads all rows of a table. A store that lost its history may answer
-    /// from an older state: compare [`Snapshot::revision`] with what is known.
+    /// Reads all rows of a table. A store that lost its history may answer with an
+    /// older state: compare [`Snapshot::revision`] with the last known revision.
     ///
     /// # Errors
     ///
-    /// Fails if the store does not answer as published.
+    /// Fails if the store does not answer, refuses the call or returns a malformed answer.
     pub async fn snapshot(&self, table: Table) -> Result<Snapshot, PlatformError> {
         let mut snapshot = Snapshot::default();
         let mut from = String::new();
@@ -166,7 +166,7 @@
             }
             let answer = self.call(Method::GET, &path, Bytes::new(), CALL_TIMEOUT).await?;
             let page = rows(&answer)?;
-            // The oldest page decides: a feed from there misses nothing.
+            // Uses the lowest revision of all pages, so that a feed from there misses no change.
             let first = snapshot.rows.is_empty();
             if first {
                 (snapshot.revision, snapshot.as_of) = (page.row_version, page.now_ms);
@@ -177,21 +177,21 @@
                 snapshot.rows.push(decode_row(row));
             }
             match snapshot.rows.last() {
-                // The range includes its first key: the next page begins with
-                // the least key after the last one, which ends with a zero byte.
+                // `from` is inclusive: the next page starts at the smallest key after the
+                // last one, which is that key with a zero byte appended.
                 Some(last) if more => from = format!("{}%00", last.key),
                 _ => return Ok(snapshot),
             }
         }
     }
 
-    /// Waits for changes of a table after a revision, for at most `wait`. The connection is
-    /// a new one: a kept one may be dead, and a wait does not show it.
+    /// Waits for changes of a table after a revision, for at most `wait`. Always opens a new
+    /// connection: an idle one may be dead, which cannot be told from a feed without changes.
     ///
     /// # Errors
     ///
-    /// [`PlatformError::HistoryLost`] if the changes are no longer kept; other
-    /// errors if the store does not answer as published.
+    /// [`PlatformError::HistoryLost`] if the store no longer keeps the changes; other errors
+    /// if it does not answer, refuses the call or returns a malformed answer.
     pub async fn feed(
         &self,
         table: Table,
@@ -201,7 +201,7 @@
         let (name, ms) = (table.wire_name(), wait.as_millis());
         let path = format!("/rows-feed?table={name}&afterRevision={after}&waitMs={ms}");
         let connection = connect(self.address, CONNECT_TIMEOUT).await?;
-        let limit = wait + FEED_SLACK;
+        let limit = wait + FEED_GRACE;
         let answer = self.call_on(connection, Method::GET, &path, Bytes::new(), limit).await?;
         let page = rows(&answer)?;
         let revision = page.row_version.max(after);
@@ -216,12 +216,12 @@
         Ok(feed)
     }
 
-    /// Writes rows in one transaction: all or none.
+    /// Writes all the rows in one transaction, or none.
     ///
     /// # Errors
     ///
-    /// After [`PlatformError::Http`] and [`PlatformError::Timeout`] the write
-    /// may have been done, or may still be; after other errors it is not.
+    /// After [`PlatformError::Http`] and [`PlatformError::Timeout`] the write may have been
+    /// applied or may still be; after any other error it was not.
     pub async fn write(&self, writes: &[RowWrite]) -> Result<WriteOutcome, PlatformError> {
         let body = transaction(writes)?;
         let answer = self.call(Method::POST, "/rows-tx", body, CALL_TIMEOUT).await?;
@@ -240,7 +240,7 @@
         body: Bytes,
         limit: Duration,
     ) -> Result<Answer, PlatformError> {
-        let connection = match self.take_kept() {
+        let connection = match self.take_idle() {
             Some(connection) => connection,
             None => connect(self.address, CONNECT_TIMEOUT).await?,
         };
@@ -258,7 +258,7 @@
         let request = json_request(method, path, &self.address.to_string(), body);
         let called = tokio::time::timeout(limit, connection.call(request)).await;
         let answer = called.map_err(|_elapsed| PlatformError::Timeout)??;
-        self.keep(connection);
+        self.put_idle(connection);
         match answer.status.as_u16() {
             200 | 412 => Ok(answer),
             410 => Err(PlatformError::HistoryLost),
@@ -266,19 +266,20 @@
         }
     }
 
-    /// Returns the connection that was answered on last, if that was of late.
-    fn take_kept(&self) -> Option<HttpConnection> {
+    /// Returns the most recently used idle connection, if it is still fresh enough to reuse.
+    fn take_idle(&self) -> Option<HttpConnection> {
         let now = clock::now();
-        let of_late = |k: &Kept| now.saturating_duration_since(k.answered) < KEPT_FOR;
+        let is_recent =
+            |k: &IdleConnection| now.saturating_duration_since(k.last_answer) < IDLE_TIMEOUT;
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|kept| kept.connection.is_open() && of_late(kept));
-        idle.pop().map(|kept| kept.connection)
+        idle.retain(|entry| entry.connection.is_open() && is_recent(entry));
+        idle.pop().map(|entry| entry.connection)
     }
 
-    fn keep(&self, connection: HttpConnection) {
+    fn put_idle(&self, connection: HttpConnection) {
         let mut idle = self.idle.borrow_mut();
-        idle.push(Kept { connection, answered: clock::now() });
-        if idle.len() > IDLE_KEPT {
+        idle.push(IdleConnection { connection, last_answer: clock::now() });
+        if idle.len() > MAX_IDLE_CONNECTIONS {
             idle.remove(0);
         }
     }
--- a/src/platform/store_wire.rs
+++ b/src/platform/store_wire.rs
@@ -1,4 +1,4 @@
-//! Messages of the platform's store, as it spells them.
+//! Wire format of the platform's metadata store.
 
 use base64::{Engine, engine::general_purpose::STANDARD};
 use bytes::Bytes;
@@ -7,7 +7,7 @@
 use super::{PlatformError, RowWrite, StoreRow};
 use crate::gateway::{decide::StoreMillis, model::Revision, net::Answer};
 
-/// A row, or that it was removed.
+/// A row, or the tombstone of a removed one.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct WireRow {
@@ -19,7 +19,7 @@
     pub(super) tombstone: bool,
 }
 
-/// An answer about rows: a page of them, the newest revision of the store, and its clock.
+/// A page of rows with the newest revision of the store and the time of its clock.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(super) struct WireRows {
@@ -57,7 +57,7 @@
     remove: [(); 0],
 }
 
-/// Encodes a transaction that writes rows, all or none.
+/// Encodes a transaction that writes all the rows or none.
 pub(super) fn transaction(writes: &[RowWrite]) -> Result<Bytes, PlatformError> {
     let txn = WireTxn {
         expected_revision: writes.iter().filter_map(expected).collect(),
@@ -78,13 +78,13 @@
     WireWrite { table: write.table.wire_name(), part: "", key: &write.key, value }
 }
 
-/// Decodes an answer about rows.
+/// Decodes an answer that carries rows.
 pub(super) fn rows(answer: &Answer) -> Result<WireRows, PlatformError> {
     serde_json::from_slice(&answer.body).map_err(PlatformError::malformed("rows"))
 }
 
-/// Decodes a row. One whose value is not base64 is given without bytes, which no
-/// decoder takes for a message: it must not cost the rows beside it.
+/// Decodes a row. If its value is not base64, the row gets an empty value, which every
+/// decoder rejects: one malformed row must not make the other rows of the page unusable.
 pub(super) fn decode_row(row: WireRow) -> StoreRow {
     let value = STANDARD.decode(row.value.unwrap_or_default()).unwrap_or_else(|e| {
         log::warn!("the value of row {} is not base64: {e}", row.key);
--- a/src/platform/upstreams.rs
+++ b/src/platform/upstreams.rs
@@ -1,4 +1,4 @@
-//! Rows in which upstreams describe themselves.
+//! Store rows in which upstreams register themselves.
 
 use std::{net::SocketAddr, num::NonZeroU32, time::Duration};
 
@@ -18,48 +18,49 @@
     service: String,
     address: SocketAddr,
     zone: String,
-    /// Of its software.
+    /// Version of its software.
     version: String,
     slots: NonZeroU32,
     state: String,
     #[serde(rename = "coldRemainingMs")]
     _slow_for_ms: f64,
-    /// Orders that it has accepted.
+    /// Number of orders that it has accepted.
     #[serde(rename = "sequence")]
     _orders: u64,
     #[serde(default)]
     spot: bool,
-    /// Milliseconds from when the row was written.
+    /// Milliseconds until the upstream leaves, counted from the time the row was written.
     #[serde(rename = "leaves_ms")]
     leaves_ms: Option<f64>,
-    #[serde(default, deserialize_with = "stated")]
+    #[serde(default, deserialize_with = "non_null")]
     born: Option<UnixMillis>,
 }
 
-/// Reads a field that may be absent, but not `null`.
-fn stated<'de, D: Deserializer<'de>>(value: D) -> Result<Option<UnixMillis>, D::Error> {
+/// Deserializes a field that may be missing but must not be `null`.
+fn non_null<'de, D: Deserializer<'de>>(value: D) -> Result<Option<UnixMillis>, D::Error> {
     UnixMillis::deserialize(value).map(Some)
 }
 
-/// Why a row names no upstream. Others than upstreams may write such rows.
+/// Why a row does not describe an upstream. The table may also be written by others than
+/// upstreams.
 #[derive(Debug, Error)]
 pub enum EntryError {
     /// The bytes are not JSON.
     #[error("not readable: {0}")]
     Unreadable(serde_json::Error),
-    /// A field is missing, or is of another type.
+    /// A field is missing or has the wrong type.
     #[error("a field is missing or of another type: {0}")]
     Field(serde_json::Error),
-    /// A state that is not published.
+    /// The state is none of the published ones.
     #[error("unknown state {0:?}")]
     State(String),
-    /// A time that cannot be.
+    /// A time in milliseconds that cannot be represented.
     #[error("no time: {0} ms")]
     Time(f64),
 }
 
 impl EntryError {
-    /// Returns a word for logs and metrics.
+    /// Returns the cause as a label for logs and metrics.
     pub fn cause(&self) -> &'static str {
         match self {
             Self::Unreadable(_) => "unreadable",
@@ -79,12 +80,12 @@
     }
 }
 
-/// Decodes the row of the upstream `id`.
+/// Decodes the row of the upstream with identifier `id`.
 ///
 /// # Errors
 ///
-/// Fails if the row does not have the published form. It then names no
-/// upstream, whatever stood there before.
+/// Fails if the row does not match the published schema. The caller then treats the
+/// upstream as removed, even if an earlier value of the row was valid.
 pub fn decode_upstream(id: UpstreamId, bytes: &[u8]) -> Result<Upstream, EntryError> {
     let wire: WireUpstream = serde_json::from_slice(bytes)?;
     let phase = match wire.state.as_str() {
@@ -94,7 +95,7 @@
     };
     let duration = |ms: f64| {
         Duration::try_from_secs_f64(ms.max(0.0) / 1_000.0)
-            .map_err(|_unbounded| EntryError::Time(ms))
+            .map_err(|_out_of_range| EntryError::Time(ms))
     };
     Ok(Upstream {
         id,
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter: published messages in, the project's own types out.
+//! The platform adapter decodes published messages into the project's types and encodes them.
 
 use std::time::Duration;
 
@@ -15,8 +15,8 @@
 const CONFIGURATION: &str = include_str!("data/platform_configuration.json");
 
 #[test]
-fn the_configuration_is_decoded() {
-    let cfg = decode_configuration(CONFIGURATION.as_bytes()).expect("the published form");
+fn decodes_the_configuration() {
+    let cfg = decode_configuration(CONFIGURATION.as_bytes()).expect("a valid configuration");
     assert_eq!(cfg.version, 7);
     let route = cfg.route("ficu95.example", "/lohu930/2f").expect("a route");
     assert_eq!(route.kind, RequestKind::Streaming);
@@ -28,19 +28,19 @@
     assert_eq!(resumable.targets, [("huvo11a".to_owned(), 1)]);
     let service = &cfg.services["huvo11a"];
     assert_eq!(service.max_connections, 370);
-    assert_eq!(service.engine.expect("model engines").cache_tokens, 583_597);
-    let scaling = service.scaling.as_ref().expect("a number that may change");
+    assert_eq!(service.engine.expect("a service of model engines").cache_tokens, 583_597);
+    let scaling = service.scaling.as_ref().expect("a service with scaling bounds");
     assert_eq!((scaling.min, scaling.max), (1, 10));
     assert_eq!(scaling.boot, Duration::from_secs(4));
     assert!(cfg.services["wuno96b"].scaling.is_none());
-    let customer = cfg.customer("i9n73hh2b9wu3fexd9dn").expect("a key");
+    let customer = cfg.customer("i9n73hh2b9wu3fexd9dn").expect("the customer of the key");
     assert_eq!(customer.name, "hule930");
     assert_eq!(customer.quota.expect("a quota").burst, 287_032.0);
     assert_eq!(cfg.limits.body_bytes, 4_194_304);
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_wins() {
+fn longest_matching_path_prefix_of_the_host_selects_the_route() {
     struct Case {
         host: &'static str,
         path: &'static str,
@@ -54,7 +54,7 @@
         Case { host: "other.example", path: "/lohu930/2f", route: None },
         Case { host: "ficu95.example", path: "/", route: None },
     ];
-    let cfg = decode_configuration(CONFIGURATION.as_bytes()).expect("the published form");
+    let cfg = decode_configuration(CONFIGURATION.as_bytes()).expect("a valid configuration");
     for case in cases {
         let route = cfg.route(case.host, case.path).map(|r| r.name.as_str());
         assert_eq!(route, case.route, "{} {}", case.host, case.path);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn documents_of_another_form_are_typed_errors() {
+fn malformed_documents_are_rejected_with_an_error() {
     for bytes in [&b""[..], b"{", b"[]", b"{\"routes\":[]}", b"{\"version\":\"7\"}", b"\xff"] {
         decode_configuration(bytes).expect_err("not a configuration");
         decode_upstream("i-1".to_owned(), bytes).expect_err("not an upstream");
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn upstreams_are_decoded() {
+fn decodes_upstream_rows() {
     struct Case {
         row: &'static str,
         phase: UpstreamPhase,
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn the_head_of_a_request_is_decoded() {
+fn decodes_request_heads() {
     let request = Request::post("/lohu930/2f?x=1")
         .header("Host", "Ficu95.Example:8221")
         .header("X-Request-Id", "9c41")
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn only_this_system_says_who_the_customer_is() {
+fn internal_headers_sent_by_a_caller_are_replaced() {
     let mut sent = headers(&[
         ("x-key", "secret"),
         ("x-tenant", "forged"),
@@ -172,17 +172,20 @@
 }
 
 #[test]
-fn answers_are_judged_by_their_heads() {
+fn classifies_answers_by_status_and_headers() {
     let ok = StatusCode::OK;
-    let full = StatusCode::SERVICE_UNAVAILABLE;
+    let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     let sealed = headers(&[("x-response-seal", "3e1b"), ("x-request-id", "9c41")]);
     assert!(!seal_missing(ok, &sealed));
     assert!(seal_missing(ok, &HeaderMap::new()));
-    assert!(!seal_missing(full, &HeaderMap::new()));
+    assert!(!seal_missing(unavailable, &HeaderMap::new()));
     assert!(same_request(&sealed, "9c41"));
     assert!(!same_request(&sealed, "9c42"));
-    assert!(!is_not_executed(full, &HeaderMap::new()), "only the header says so");
-    assert!(is_not_executed(full, &headers(&[("x-not-executed", "1")])));
+    assert!(
+        !is_not_executed(unavailable, &HeaderMap::new()),
+        "status 503 alone does not mean that the request was not run"
+    );
+    assert!(is_not_executed(unavailable, &headers(&[("x-not-executed", "1")])));
     assert!(is_not_executed(StatusCode::MISDIRECTED_REQUEST, &HeaderMap::new()));
     assert_eq!(
         keep_alive(&headers(&[("keep-alive", "timeout=5, max=9")])),
@@ -194,7 +197,7 @@
 }
 
 #[test]
-fn lookups_are_decoded_and_answered() {
+fn decodes_and_answers_lookups() {
     let get = |uri: &str| {
         let request = Request::get(uri).body(()).expect("a request");
         decode_lookup(request.method(), request.uri())
@@ -209,10 +212,10 @@
 }
 
 #[test]
-fn rate_limits_are_decoded() {
+fn decodes_rate_limits() {
     struct Case {
         values: &'static [&'static str],
-        /// `Err` for values that are no rate.
+        /// `Err` if a value is not a valid rate.
         rate: Result<Option<f64>, ()>,
     }
     let cases = [
@@ -240,19 +243,19 @@
 }
 
 #[test]
-fn rests_are_decoded() {
+fn decodes_retry_after() {
     struct Case {
         status: u16,
         value: Option<&'static str>,
-        /// `Err` for a value that is no time to wait.
-        rest: Result<Option<Duration>, ()>,
+        /// `Err` if the value is neither a number of seconds nor a date.
+        retry_after: Result<Option<Duration>, ()>,
     }
     let ms = |ms| Ok(Some(Duration::from_millis(ms)));
-    let case = |value, rest| Case { status: 503, value: Some(value), rest };
-    // The time of day is 2015-10-21 07:28:00 GMT.
+    let case = |value, retry_after| Case { status: 503, value: Some(value), retry_after };
+    // 2015-10-21 07:28:00 GMT.
     let time = 1_445_412_480_000;
     let cases = [
-        Case { status: 503, value: None, rest: Ok(None) },
+        Case { status: 503, value: None, retry_after: Ok(None) },
         case("3", ms(3_000)),
         case("0.25", ms(250)),
         case("0", ms(0)),
@@ -265,20 +268,20 @@
         case("NaN", Err(())),
         case("soon", Err(())),
         case("", Err(())),
-        Case { status: 429, value: Some("2"), rest: ms(2_000) },
-        Case { status: 200, value: Some("2"), rest: Ok(None) },
-        Case { status: 500, value: Some("2"), rest: Ok(None) },
+        Case { status: 429, value: Some("2"), retry_after: ms(2_000) },
+        Case { status: 200, value: Some("2"), retry_after: Ok(None) },
+        Case { status: 500, value: Some("2"), retry_after: Ok(None) },
     ];
     for case in cases {
         let list: Vec<_> = case.value.iter().map(|v| ("retry-after", *v)).collect();
         let status = StatusCode::from_u16(case.status).expect("a status");
         let decoded = decode_rest(status, &headers(&list), time);
-        assert_eq!(decoded.map_err(drop), case.rest, "{} {:?}", case.status, case.value);
+        assert_eq!(decoded.map_err(drop), case.retry_after, "{} {:?}", case.status, case.value);
     }
 }
 
 #[test]
-fn only_its_own_word_makes_an_upstream_leave() {
+fn only_the_published_value_marks_an_upstream_as_leaving() {
     let cases = [("1", true), (" 1", true), ("0", false), ("", false), ("true", false)];
     for (value, leaves) in cases {
         assert_eq!(says_leaving(&headers(&[("server-leaving", value)])), leaves, "{value:?}");
--- a/tests/platform_entries.rs
+++ b/tests/platform_entries.rs
@@ -1,5 +1,5 @@
-//! Rows of the store that others wrote: what cannot be read names nothing, spoils
-//! nothing and stops nobody.
+//! Malformed rows in the store. A row that cannot be decoded does not name an upstream, does
+//! not affect other upstreams and does not keep a gateway from starting.
 
 mod support;
 
@@ -18,7 +18,7 @@
     platform::{decode_configuration, decode_upstream},
 };
 
-fn entry() -> Value {
+fn valid_entry() -> Value {
     json!({
         "service": "app", "address": "127.0.0.1:9", "zone": "bkk-nont", "version": "v1",
         "slots": 6, "state": "ready", "coldRemainingMs": 0, "sequence": 4,
@@ -27,19 +27,19 @@
 }
 
 fn entry_with(field: &str, value: Value) -> String {
-    let mut entry = entry();
+    let mut entry = valid_entry();
     entry[field] = value;
     entry.to_string()
 }
 
 fn entry_without(field: &str) -> String {
-    let mut entry = entry();
+    let mut entry = valid_entry();
     entry.as_object_mut().expect("an object").remove(field);
     entry.to_string()
 }
 
 #[test]
-fn an_entry_names_an_upstream_or_says_why_not() {
+fn malformed_entries_are_rejected_with_a_cause() {
     struct Case {
         name: &'static str,
         row: String,
@@ -47,31 +47,31 @@
     }
     let case = |name, row, cause| Case { name, row, cause };
     let cases = [
-        case("as published", entry().to_string(), None),
-        case("a field that is new", entry_with("new", json!({"a": 1})), None),
-        case("does not say when it started", entry_without("born"), None),
-        case("no bytes", String::new(), Some("unreadable")),
-        case("half of it", entry().to_string()[..40].to_owned(), Some("unreadable")),
+        case("as published", valid_entry().to_string(), None),
+        case("unknown field", entry_with("new", json!({"a": 1})), None),
+        case("no start time", entry_without("born"), None),
+        case("empty", String::new(), Some("unreadable")),
+        case("truncated", valid_entry().to_string()[..40].to_owned(), Some("unreadable")),
         case("not JSON", "\u{1}\u{2}".to_owned(), Some("unreadable")),
-        case("a list", "[]".to_owned(), Some("field")),
+        case("a JSON array", "[]".to_owned(), Some("field")),
         case("no service", entry_without("service"), Some("field")),
         case("no address", entry_without("address"), Some("field")),
         case("no data centre", entry_without("zone"), Some("field")),
         case("no slots", entry_without("slots"), Some("field")),
         case("no state", entry_without("state"), Some("field")),
         case("no version", entry_without("version"), Some("field")),
-        case("no count of orders", entry_without("sequence"), Some("field")),
-        case("service of another type", entry_with("service", json!(7)), Some("field")),
-        case("address of another type", entry_with("address", json!("here")), Some("field")),
-        case("slots as a text", entry_with("slots", json!("6")), Some("field")),
-        case("no room", entry_with("slots", json!(0)), Some("field")),
-        case("less than no room", entry_with("slots", json!(-6)), Some("field")),
-        case("start as a fraction", entry_with("born", json!(1.5)), Some("field")),
-        case("start as a text", entry_with("born", json!("1")), Some("field")),
-        case("start without a value", entry_with("born", Value::Null), Some("field")),
+        case("no sequence number", entry_without("sequence"), Some("field")),
+        case("service as a number", entry_with("service", json!(7)), Some("field")),
+        case("invalid address", entry_with("address", json!("here")), Some("field")),
+        case("slots as a string", entry_with("slots", json!("6")), Some("field")),
+        case("zero slots", entry_with("slots", json!(0)), Some("field")),
+        case("negative slots", entry_with("slots", json!(-6)), Some("field")),
+        case("fractional start time", entry_with("born", json!(1.5)), Some("field")),
+        case("start time as a string", entry_with("born", json!("1")), Some("field")),
+        case("start time null", entry_with("born", Value::Null), Some("field")),
         case("unknown state", entry_with("state", json!("resting")), Some("state")),
-        case("state of another case", entry_with("state", json!("Ready")), Some("state")),
-        case("leaves at no time", entry_with("leaves_ms", json!(1e300)), Some("time")),
+        case("state in upper case", entry_with("state", json!("Ready")), Some("state")),
+        case("leave time out of range", entry_with("leaves_ms", json!(1e300)), Some("time")),
     ];
     for case in cases {
         let decoded = decode_upstream("i-1".to_owned(), case.row.as_bytes());
@@ -81,17 +81,18 @@
 }
 
 #[test]
-fn a_bad_entry_takes_its_engine_out_and_no_other() {
+fn malformed_entry_removes_only_its_own_upstream() {
     let site = Site::start(2, 0, 2);
-    let bad = [entry_with("state", json!("resting")), "\u{1}".to_owned(), entry_without("slots")];
-    for (i, text) in bad.iter().enumerate() {
+    let malformed =
+        [entry_with("state", json!("resting")), "\u{1}".to_owned(), entry_without("slots")];
+    for (i, text) in malformed.iter().enumerate() {
         site.write_entry("i-1", text);
-        let told = |g: &support::gateways::GatewayProc| {
+        let is_gone = |g: &support::gateways::GatewayProc| {
             let log = g.log();
             let mut states = log.iter().filter(|l| l["upstream"] == "i-1");
             states.next_back().is_some_and(|l| l["state"] == "gone")
         };
-        wait_until("both gateways know", || site.gateways.iter().all(told));
+        wait_until("both gateways have dropped i-1", || site.gateways.iter().all(is_gone));
         for n in 0..4 {
             let id = format!("r-{i}-{n}");
             let answer = Call::new("POST", "/confirm/x", &id).send(site.gateways[n % 2].callers);
@@ -99,25 +100,25 @@
             assert_eq!(site.runs(&id)[0]["upstream"], "i-2", "{text}");
         }
         site.control("/remove", &json!({ "id": "i-1", "back": true }));
-        let back = |g: &support::gateways::GatewayProc| {
+        let is_ready = |g: &support::gateways::GatewayProc| {
             let log = g.log();
             let mut states = log.iter().filter(|l| l["upstream"] == "i-1");
             states.next_back().is_some_and(|l| l["state"] == "ready")
         };
-        wait_until("it is back", || site.gateways.iter().all(back));
+        wait_until("both gateways see i-1 as ready again", || site.gateways.iter().all(is_ready));
     }
-    let rejected: usize = site.gateways.iter().map(|g| rejections(&g.log())).sum();
-    assert!(rejected >= bad.len(), "each cause is told");
+    let rejected: usize = site.gateways.iter().map(|g| rejected_entry_count(&g.log())).sum();
+    assert!(rejected >= malformed.len(), "each malformed entry is logged");
     let counted = site.gateways.iter().any(|g| g.metrics().contains("rejected_entries_total"));
-    assert!(counted, "and counted");
+    assert!(counted, "rejected entries are counted in the metrics");
 }
 
-fn rejections(log: &[Value]) -> usize {
+fn rejected_entry_count(log: &[Value]) -> usize {
     log.iter().filter(|l| l["event"] == "entry_rejected").count()
 }
 
 #[test]
-fn a_gateway_starts_beside_entries_of_others() {
+fn gateway_starts_with_malformed_entries_in_the_store() {
     let mut site = Site::bare();
     site.configure(&support::gateways::configuration(7));
     site.add_upstream("app");
@@ -128,7 +129,11 @@
     site.wait_ready();
     let answer = Call::new("POST", "/confirm/x", "r-1").send(site.gateways[0].callers);
     assert_eq!(answer.expect("an answer").status, StatusCode::OK);
-    assert_eq!(rejections(&site.gateways[0].log()), 2, "one line for each row");
+    assert_eq!(
+        rejected_entry_count(&site.gateways[0].log()),
+        2,
+        "one log line for each malformed row"
+    );
 }
 
 const CONFIGURATION: &[u8] = include_bytes!("data/platform_configuration.json");
@@ -136,9 +141,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// Whatever bytes others leave, each decoder returns.
+    /// No decoder panics on arbitrary bytes.
     #[test]
-    fn decoders_take_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn decoders_do_not_panic_on_arbitrary_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         prop_assert!(decode_upstream("i-1".to_owned(), &bytes).is_err());
         prop_assert!(decode_configuration(&bytes).is_err());
         drop(Datagram::decode(&bytes));
@@ -146,13 +151,13 @@
         drop(ciborium::from_reader::<Kept, _>(&bytes[..]));
     }
 
-    /// Published documents with some bytes changed: an error, or a message whose
-    /// times can be added to a clock.
+    /// A valid document with some bytes changed decodes to an error or to a message whose
+    /// times can be added to an `Instant` without overflow.
     #[test]
-    fn decoders_take_spoilt_documents(
+    fn decoders_do_not_panic_on_corrupted_documents(
         changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..8),
     ) {
-        let spoil = |document: &[u8]| {
+        let corrupt = |document: &[u8]| {
             let mut document = document.to_vec();
             for (at, byte) in &changes {
                 let at = at.index(document.len());
@@ -161,20 +166,20 @@
             document
         };
         let now = std::time::Instant::now();
-        if let Ok(cfg) = decode_configuration(&spoil(CONFIGURATION)) {
+        if let Ok(cfg) = decode_configuration(&corrupt(CONFIGURATION)) {
             for route in &cfg.routes {
                 prop_assert!(now.checked_add(route.timeout).is_some());
             }
         }
         let row = entry_with("leaves_ms", json!(2_400));
-        if let Ok(upstream) = decode_upstream("i-1".to_owned(), &spoil(row.as_bytes())) {
+        if let Ok(upstream) = decode_upstream("i-1".to_owned(), &corrupt(row.as_bytes())) {
             prop_assert!(upstream.slots > 0);
         }
     }
 
-    /// A number of any size in place of each time.
+    /// Times of any size decode without a panic and can be added to an `Instant`.
     #[test]
-    fn times_of_any_size_are_taken(number in any::<f64>()) {
+    fn times_of_any_size_do_not_overflow(number in any::<f64>()) {
         let text = String::from_utf8_lossy(CONFIGURATION).replace("15000", &format!("{number:e}"));
         if let Ok(cfg) = decode_configuration(text.as_bytes()) {
             let now = std::time::Instant::now();
--- a/tests/platform_store.rs
+++ b/tests/platform_store.rs
@@ -1,5 +1,5 @@
-//! The client of the platform's store on connections that fall silent: they stay open, and
-//! whoever waits on them learns nothing.
+//! The store client on connections that go dead without being closed: a call on such a
+//! connection gets no answer and fails only at its timeout.
 
 use std::{
     io::{BufRead, BufReader, Write},
@@ -15,32 +15,32 @@
 use tackhollow::platform::{StoreClient, Table};
 use tokio::{runtime::Builder, task::LocalSet, time::sleep};
 
-/// Time without a call, after which a connection may be dead.
-const NOT_USED: Duration = Duration::from_millis(1_200);
-/// Longest time in which a call on a connection that works is answered.
-const QUICK: Duration = Duration::from_millis(1_000);
+/// Idle time after which the client must not reuse a connection.
+const STALE_AFTER: Duration = Duration::from_millis(1_200);
+/// Upper bound on the time of a call on a working connection.
+const MAX_CALL_TIME: Duration = Duration::from_millis(1_000);
 
-/// A store with one empty table, whose open connections can be silenced.
-struct Store {
+/// A fake store with one empty table that can stop answering on its open connections.
+struct FakeStore {
     address: SocketAddr,
-    /// Connections of earlier generations are not answered.
+    /// Connections that were opened in an earlier generation get no answers.
     generation: Arc<AtomicU64>,
-    /// Connections so far.
+    /// Number of connections accepted so far.
     opened: Arc<AtomicU64>,
 }
 
-impl Store {
+impl FakeStore {
     fn start() -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port");
         let address = listener.local_addr().expect("an address");
         let generation = Arc::new(AtomicU64::new(0));
         let opened = Arc::new(AtomicU64::new(0));
-        let (newest, count) = (generation.clone(), opened.clone());
+        let (current_generation, count) = (generation.clone(), opened.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 count.fetch_add(1, Ordering::SeqCst);
-                let newest = newest.clone();
-                thread::spawn(move || serve(stream, &newest));
+                let current_generation = current_generation.clone();
+                thread::spawn(move || serve(stream, &current_generation));
             }
         });
         Self { address, generation, opened }
@@ -51,18 +51,18 @@
     }
 }
 
-fn serve(mut stream: TcpStream, newest: &AtomicU64) {
-    let own = newest.load(Ordering::SeqCst);
+fn serve(mut stream: TcpStream, current_generation: &AtomicU64) {
+    let own_generation = current_generation.load(Ordering::SeqCst);
     let mut reader = BufReader::new(stream.try_clone().expect("the same socket"));
     let mut line = String::new();
     while reader.read_line(&mut line).is_ok_and(|read| read > 0) {
-        let ends = line == "\r\n";
+        let head_ended = line == "\r\n";
         line.clear();
-        if ends && newest.load(Ordering::SeqCst) == own {
+        if head_ended && current_generation.load(Ordering::SeqCst) == own_generation {
             let body = r#"{"rows":[],"morePages":false,"rowVersion":5,"nowMs":7}"#;
             let length = body.len();
             let head = format!("HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n");
-            stream.write_all((head + body).as_bytes()).expect("the caller reads");
+            stream.write_all((head + body).as_bytes()).expect("the client is connected");
         }
     }
 }
@@ -73,23 +73,23 @@
 }
 
 #[test]
-fn a_connection_that_was_not_answered_on_of_late_is_not_used() {
+fn stale_idle_connection_is_not_reused() {
     run(async {
-        let store = Store::start();
+        let store = FakeStore::start();
         let client = StoreClient::new(store.address);
         client.snapshot(Table::Duties).await.expect("an answer");
         store.silence_open_connections();
-        sleep(NOT_USED).await;
+        sleep(STALE_AFTER).await;
         let began = Instant::now();
-        client.snapshot(Table::Duties).await.expect("an answer on another connection");
-        assert!(began.elapsed() < QUICK, "answered after {:?}", began.elapsed());
+        client.snapshot(Table::Duties).await.expect("an answer on a new connection");
+        assert!(began.elapsed() < MAX_CALL_TIME, "answered after {:?}", began.elapsed());
     });
 }
 
 #[test]
-fn a_connection_that_was_answered_on_of_late_is_used_again() {
+fn fresh_idle_connection_is_reused() {
     run(async {
-        let store = Store::start();
+        let store = FakeStore::start();
         let client = StoreClient::new(store.address);
         for _ in 0..5 {
             client.snapshot(Table::Duties).await.expect("an answer");
