--- a/src/gateway/model/configuration.rs
+++ b/src/gateway/model/configuration.rs
@@ -1,50 +1,50 @@
-//! The configuration in force: routes, services, customers and their limits.
+//! The operator's configuration: routes, services, customers and their limits.
 
 use std::{collections::HashMap, time::Duration};
 
 use super::{CustomerName, ServiceName};
 use crate::ids::DataCentre;
 
-/// What may be repeated of a route's requests.
+/// Whether the requests of a route may run more than once, and how they are answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// Idempotent: may run more than once.
     Safe,
     /// May run at most once.
     Unsafe,
-    /// Answered by a stream of events; may be resumed only where the route says so.
+    /// Answered by a stream of events; resumed only if [`Route::resumable`] is set.
     Streaming,
 }
 
-/// A route: which requests go to which services, and on what terms.
+/// A route: matches requests by host and path and sets their targets and limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name given by the operator.
+    /// Name chosen by the operator.
     pub name: String,
-    /// Value of the `Host` header.
+    /// Host that requests must name, without a port.
     pub host: String,
-    /// Start of the path; begins and ends with a slash.
+    /// Prefix that the path must have; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may run more than once.
     pub kind: RequestKind,
-    /// Longest time until the answer has ended.
+    /// Maximum time from the arrival of a request to the end of its answer.
     pub timeout: Duration,
-    /// Latency objective: time to the whole answer, for streams to the first event.
+    /// Latency objective: time to the complete answer or, for streams, to the first event.
     pub objective: Duration,
-    /// Rank; 0 is the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u8,
-    /// Services that may run the requests, with their weights.
+    /// Services that run the requests, with their weights in the traffic split.
     pub targets: Vec<(ServiceName, u32)>,
-    /// Upstreams on which one request may run.
+    /// Maximum number of upstreams that may run one request; at least 1.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without an API key.
     pub open: bool,
-    /// Whether a stream may go on at another upstream.
+    /// Whether an interrupted stream may be resumed at another upstream.
     pub resumable: bool,
 }
 
 impl Route {
-    /// Returns whether a request may run again after it may have run.
+    /// Returns whether a request may be sent again after an attempt that may have run it.
     pub fn repeatable(&self) -> bool {
         match self.kind {
             RequestKind::Safe => true,
@@ -54,97 +54,97 @@
     }
 }
 
-/// How many engines a service may have in each data centre, and what they cost.
+/// Bounds on the number of engines of a service in each data centre, and their prices.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scaling {
-    /// Engines in a data centre at least, reclaimable ones included.
+    /// Minimum number of engines in a data centre, including reclaimable ones.
     pub min: u32,
-    /// Engines in a data centre at most, reclaimable ones included.
+    /// Maximum number of engines in a data centre, including reclaimable ones.
     pub max: u32,
-    /// Time from an order until the engine serves.
+    /// Time from an order until the engine accepts requests.
     pub boot: Duration,
-    /// Price of a reclaimable engine as a share of the price of another.
+    /// Price of a reclaimable engine as a fraction of the price of one that is not.
     pub reclaimable_price: f64,
-    /// Price of an engine by data centre, in the operator's unit a second.
+    /// Price of an engine per second by data centre, in the operator's currency unit.
     pub prices: HashMap<DataCentre, f64>,
 }
 
-/// A service: upstreams that run the same requests.
+/// A service: a set of interchangeable upstreams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Name.
+    /// Name, unique in the configuration.
     pub name: ServiceName,
-    /// Connections that an upstream accepts from all callers together.
+    /// Maximum number of connections that one upstream accepts from all its clients together.
     pub max_connections: u32,
-    /// What is known of its model engines; `None` for a plain service.
+    /// Properties of its model engines; `None` if the service does not run model engines.
     pub engine: Option<EngineKind>,
-    /// Bounds for ordering engines; `None` where their number is fixed.
+    /// Bounds for ordering engines; `None` if their number is fixed.
     pub scaling: Option<Scaling>,
 }
 
-/// Properties that all model engines of a service share.
+/// Properties common to all model engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineKind {
-    /// Requests that run at once.
+    /// Number of requests that an engine runs concurrently.
     pub slots: u32,
-    /// Tokens that fit into the KV cache.
+    /// Capacity of the KV cache, in tokens.
     pub cache_tokens: u64,
 }
 
-/// A customer, its keys and its quota.
+/// A customer with its API keys and quota.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Customer {
-    /// Name, passed on to upstreams.
+    /// Name, forwarded to upstreams.
     pub name: CustomerName,
-    /// Keys that its callers send.
+    /// API keys of its callers.
     pub keys: Vec<String>,
-    /// Rank that replaces the route's; 0 is the most urgent.
+    /// Priority that overrides that of the route; 0 is the most urgent.
     pub priority: Option<u8>,
-    /// Quota; `None` means no limit.
+    /// Quota; `None` if the customer is not limited.
     pub quota: Option<Quota>,
-    /// Tokens that a request without a token count uses of the quota.
+    /// Tokens charged to the quota for a request that states no token count.
     pub plain_tokens: u64,
 }
 
-/// A limit on what a customer may use, over all processes together.
+/// Token-bucket limit of a customer, shared by all gateways.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Tokens a second.
+    /// Refill rate, in tokens per second.
     pub rate: f64,
-    /// Tokens that may be used at once after a quiet time.
+    /// Size of the bucket, in tokens.
     pub burst: f64,
 }
 
-/// Bounds on what callers may send.
+/// Limits on the requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: usize,
-    /// Longest idle time of a connection.
+    /// Maximum time that a connection may stay idle.
     pub idle: Duration,
 }
 
-/// The operator's configuration at one version.
+/// One version of the operator's configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Configuration {
-    /// Version; a higher one is newer. Versions rise in uneven steps.
+    /// Version; a higher one is newer, but versions are not consecutive.
     pub version: u64,
-    /// Routes.
+    /// Routes in the order of the document.
     pub routes: Vec<Route>,
-    /// Services by name.
+    /// Services, keyed by name.
     pub services: HashMap<ServiceName, Service>,
-    /// Bounds on what callers may send.
+    /// Limits on the requests and connections of callers.
     pub limits: CallerLimits,
-    /// Customers; where there are none, requests need no key.
+    /// Customers; if there are none, no request needs an API key.
     pub customers: Vec<Customer>,
     by_host: HashMap<String, Vec<usize>>,
     by_key: HashMap<String, usize>,
 }
 
 impl Configuration {
-    /// Creates a configuration and its indexes.
+    /// Creates a configuration and builds its indexes by host and by key.
     pub fn new(
         version: u64,
         routes: Vec<Route>,
@@ -156,26 +156,26 @@
         for (i, route) in routes.iter().enumerate() {
             by_host.entry(route.host.clone()).or_default().push(i);
         }
-        for of_host in by_host.values_mut() {
-            of_host.sort_by_key(|i| std::cmp::Reverse(routes[*i].prefix.len()));
+        for host_routes in by_host.values_mut() {
+            host_routes.sort_by_key(|i| std::cmp::Reverse(routes[*i].prefix.len()));
         }
         let keys = customers.iter().enumerate();
         let by_key = keys.flat_map(|(i, c)| c.keys.iter().map(move |k| (k.clone(), i))).collect();
         Self { version, routes, services, limits, customers, by_host, by_key }
     }
 
-    /// Returns the route with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let of_host = self.by_host.get(host)?;
-        of_host.iter().map(|i| &self.routes[*i]).find(|r| path.starts_with(&r.prefix))
+        let host_routes = self.by_host.get(host)?;
+        host_routes.iter().map(|i| &self.routes[*i]).find(|r| path.starts_with(&r.prefix))
     }
 
-    /// Returns the customer that holds `key`.
+    /// Returns the customer that the API key belongs to.
     pub fn customer(&self, key: &str) -> Option<&Customer> {
         self.by_key.get(key).map(|i| &self.customers[*i])
     }
 
-    /// Returns whether requests need a key unless their route is open.
+    /// Returns whether requests on routes that are not open need an API key.
     pub fn needs_keys(&self) -> bool {
         !self.customers.is_empty()
     }
--- a/src/gateway/model/digest.rs
+++ b/src/gateway/model/digest.rs
@@ -1,4 +1,4 @@
-//! What stays the same when a request is sent again under another id.
+//! Digest that identifies the content of a request independently of its request identifier.
 
 use std::{fmt, str::FromStr};
 
@@ -6,20 +6,20 @@
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
-/// Digest of a request: customer, method, host, path with query, and body. Two
-/// requests that an upstream cannot tell apart have the same one.
+/// Digest of a request: customer, method, host, path with query, and body. Requests that
+/// an upstream cannot tell apart have the same digest.
 ///
-/// The first 128 bits of SHA-256, the same in every gateway: nobody can make a
-/// request whose digest is that of another customer's.
+/// The first 128 bits of a SHA-256 hash, equal in all gateways. The hash is cryptographic so
+/// that no customer can craft a request with the digest of another customer's request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RequestDigest(u128);
 
 impl RequestDigest {
-    /// Returns the digest of a request that consists of these parts.
+    /// Returns the digest of a request with these parts, in this order.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hash = Sha256::new();
         for part in parts {
-            // With its length, so that no two lists of parts read alike.
+            // The length prefix keeps different lists of parts from hashing the same bytes.
             hash.update((part.len() as u64).to_le_bytes());
             hash.update(part);
         }
@@ -41,7 +41,7 @@
     }
 }
 
-/// A text is no digest: not 32 hexadecimal digits.
+/// Error for a string that is not 32 hexadecimal digits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("a digest has 32 hexadecimal digits")]
 pub struct ParseDigestError;
--- a/src/gateway/model/followed.rs
+++ b/src/gateway/model/followed.rs
@@ -1,19 +1,19 @@
-//! What gateways follow in the store.
+//! Kinds of data that gateways watch in the store.
 
-/// What gateways follow in the store, each by calls of its own.
+/// Kind of data that gateways watch in the store, each with its own calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Followed {
     /// The operator's configuration.
     Configuration,
-    /// The list of upstreams.
+    /// The rows in which upstreams register themselves.
     Upstreams,
 }
 
 impl Followed {
-    /// Both.
+    /// All kinds.
     pub const ALL: [Self; 2] = [Self::Configuration, Self::Upstreams];
 
-    /// Returns a word for logs and metrics.
+    /// Returns the name used in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Configuration => "configuration",
--- a/src/gateway/model/mod.rs
+++ b/src/gateway/model/mod.rs
@@ -1,4 +1,4 @@
-//! What the gateway knows: configuration and upstreams, in the project's own words.
+//! Data model of the gateway: configuration, upstreams and request digests.
 
 mod configuration;
 mod digest;
@@ -12,11 +12,11 @@
 pub use followed::Followed;
 pub use upstream::{Lifetime, Upstream, UpstreamPhase};
 
-/// Name of a service.
+/// Name of a service in the configuration.
 pub type ServiceName = String;
 /// Version of an upstream's software.
 pub type UpstreamVersion = String;
-/// Name of a customer, passed on to upstreams.
+/// Name of a customer, forwarded to upstreams.
 pub type CustomerName = String;
-/// Revision of a table in the platform's store; a higher one is newer.
+/// Revision in the platform's store; a higher one is newer.
 pub type Revision = u64;
--- a/src/gateway/model/upstream.rs
+++ b/src/gateway/model/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream as it describes itself in the platform's store.
+//! Upstreams as they register themselves in the platform's store.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -11,66 +11,66 @@
     time::UnixMillis,
 };
 
-/// Short name of one lifetime of an upstream: a hash of its id and of the time
-/// of its start. An upstream that starts again keeps its id, but holds and
-/// knows nothing of before; what is believed of it belongs to a lifetime.
+/// Identifier of one lifetime of an upstream: a hash of its id and start time. An upstream that
+/// restarts keeps its id but loses its state (running requests, caches), so the gateway tracks
+/// state per lifetime.
 ///
-/// Short, as it stands in each heartbeat for each loaded upstream. Should two upstreams
-/// share a name, they are taken for as loaded as both together.
+/// It has only 32 bits because each heartbeat carries it for each loaded upstream. If two
+/// upstreams collide, each is taken to have the load of both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Lifetime(u32);
 
 impl Lifetime {
-    /// Returns the name of the lifetime of `id` that began at `born`.
+    /// Returns the lifetime of the upstream `id` that started at `born`.
     pub fn new(id: &str, born: Option<UnixMillis>) -> Self {
         let hash = prefix::hash(id.as_bytes());
         let hash = born.map_or(hash, |ms| prefix::fnv1a(hash, &ms.to_le_bytes()));
         Self((hash ^ (hash >> u32::BITS)) as u32)
     }
 
-    /// Returns a number to start hashes from that differ by lifetime.
+    /// Returns a seed for hashes that must differ between lifetimes.
     pub fn seed(self) -> u64 {
         u64::from(self.0)
     }
 }
 
-/// Whether an upstream takes new work.
+/// Whether an upstream accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum UpstreamPhase {
-    /// Takes new work.
+    /// Accepts new requests.
     Ready,
-    /// Finishes its work and then leaves.
+    /// Finishes its running requests and then leaves.
     Draining,
 }
 
-/// An upstream's own description.
+/// Description of an upstream, written by the upstream itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Upstream {
-    /// Identifier. It stays when the upstream starts again.
+    /// Identifier; unchanged when the upstream restarts.
     pub id: UpstreamId,
-    /// When it started, by its own clock, which may jump; `None` if it does not
-    /// say. A different time is a different lifetime, also an earlier one.
+    /// Start time by the upstream's clock, which may jump; `None` if it states none. Any
+    /// different value, even an earlier one, means a different lifetime.
     pub born: Option<UnixMillis>,
     /// Service that it belongs to.
     pub service: ServiceName,
     /// Version of its software.
     pub version: UpstreamVersion,
-    /// Where it listens. Another upstream may get the address after it is gone.
+    /// Address it listens on. The address may be reused by another upstream later.
     pub address: SocketAddr,
     /// Data centre that it runs in.
     pub data_centre: DataCentre,
-    /// Requests that run at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub phase: UpstreamPhase,
-    /// Whether its data centre may reclaim it.
+    /// Whether the data centre may reclaim its host.
     pub reclaimable: bool,
-    /// Time until its host is reclaimed, if that was announced.
+    /// Time until its host is reclaimed; `None` if no reclaim was announced.
     pub leaves_in: Option<Duration>,
 }
 
 impl Upstream {
-    /// Returns the lifetime that it describes.
+    /// Returns the lifetime that this description belongs to.
     pub fn lifetime(&self) -> Lifetime {
         Lifetime::new(&self.id, self.born)
     }
--- a/src/gateway/net/connect.rs
+++ b/src/gateway/net/connect.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection as its client.
+//! HTTP/1.1 client connections.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -15,65 +15,66 @@
 use thiserror::Error;
 use tokio::{net::TcpStream, task::spawn_local, time::timeout};
 
-/// Time of silence after which the kernel asks whether the other side is there.
+/// Idle time after which the kernel sends TCP keepalive probes.
 const KEEPALIVE_IDLE: Duration = Duration::from_secs(1);
-/// Time between two such questions; whole seconds by the socket interface.
+/// Time between two keepalive probes; the socket option takes whole seconds.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// Questions without an answer after which the connection is given up.
+/// Number of unanswered keepalive probes after which the kernel drops the connection.
 const KEEPALIVE_RETRIES: u32 = 2;
-/// Longest time that sent bytes may stay unacknowledged.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(2_500);
-/// Longest body of an answer that is read whole, in bytes: the platform
-/// answers with one megabyte of rows at most, in base64.
-const MAX_ANSWER: usize = 4 << 20;
-
-/// Body of a request: always held whole, so that it can be sent again.
+/// Time for which sent data may stay unacknowledged before the kernel drops the connection
+/// (`TCP_USER_TIMEOUT`).
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// Maximum size of a buffered answer body. The platform sends at most one megabyte of
+/// base64-encoded rows.
+const MAX_BODY_BYTES: usize = 4 << 20;
+
+/// Body of a request; always buffered so that the request can be retried.
 pub type RequestBody = Full<Bytes>;
 
 /// Why a connection could not be opened.
 #[derive(Debug, Error)]
 pub enum ConnectError {
-    /// The socket was refused.
+    /// The socket could not be connected or configured.
     #[error("{0}")]
     Socket(#[from] io::Error),
-    /// Nobody answered in time.
+    /// The peer did not accept the connection in time.
     #[error("no answer in time")]
     Timeout,
-    /// The HTTP side could not start.
+    /// The HTTP handshake failed.
     #[error("{0}")]
     Http(#[from] hyper::Error),
 }
 
-/// Why a call brought no whole answer.
+/// Why a call returned no complete answer.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// The connection ended.
+    /// The connection ended before the head of the answer arrived.
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    /// The body broke off, or is larger than any that the platform sends.
+    /// The body was cut off or exceeds the maximum size.
     #[error("{0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
 }
 
-/// An answer that was read whole.
+/// An answer with its buffered body.
 #[derive(Debug)]
 pub struct Answer {
-    /// Status.
+    /// HTTP status.
     pub status: StatusCode,
-    /// Headers.
+    /// HTTP headers.
     pub headers: HeaderMap,
-    /// Body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// A connection on which requests are sent one after another.
+/// A connection that carries one request at a time.
 #[derive(Debug)]
 pub struct HttpConnection {
     sender: SendRequest<RequestBody>,
 }
 
 impl HttpConnection {
-    /// Returns whether the other side has not closed it.
+    /// Returns whether the connection has not been closed.
     pub fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
@@ -103,49 +104,49 @@
         })
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the complete answer.
     ///
     /// # Errors
     ///
-    /// Fails if the connection ends first, or the answer is too large.
+    /// Fails if the connection ends first or the body is too large.
     pub async fn call(&mut self, request: Request<RequestBody>) -> Result<Answer, CallError> {
         let response = self.sender.send_request(request).await?;
         let (parts, body) = response.into_parts();
-        let read = Limited::new(body, MAX_ANSWER).collect().await;
+        let read = Limited::new(body, MAX_BODY_BYTES).collect().await;
         let body = read.map_err(CallError::Body)?.to_bytes();
         Ok(Answer { status: parts.status, headers: parts.headers, body })
     }
 }
 
-/// Why no answer came.
+/// A request failed before the head of its answer arrived.
 #[derive(Debug, Error)]
 #[error("{source}")]
 pub struct SendError {
-    /// Whether no byte of the request was sent.
+    /// Whether no part of the request was sent, so that it is safe to retry.
     pub unsent: bool,
-    /// What ended the connection.
+    /// Error that ended the connection.
     pub source: hyper::Error,
 }
 
-/// Opens a connection.
+/// Opens a connection to `address`.
 ///
 /// # Errors
 ///
-/// Fails if the address refuses, or does not answer within `limit`.
+/// Fails if the peer refuses the connection or does not accept it within `limit`.
 pub async fn connect(address: SocketAddr, limit: Duration) -> Result<HttpConnection, ConnectError> {
     let opened = timeout(limit, TcpStream::connect(address)).await;
     let stream = opened.map_err(|_elapsed| ConnectError::Timeout)??;
-    watch_peer(&stream)?;
+    detect_dead_peer(&stream)?;
     let (sender, connection) = Builder::new().handshake(TokioIo::new(stream)).await?;
     spawn_local(async move {
-        // Whoever uses the connection learns of its end from the sender.
+        // The error is dropped: users of the connection get it from `sender`.
         drop(connection.await);
     });
     Ok(HttpConnection { sender })
 }
 
-/// Lets the kernel find out when the other side is gone without a word.
-pub(super) fn watch_peer(stream: &TcpStream) -> io::Result<()> {
+/// Configures the socket so that the kernel detects a peer that vanished without closing it.
+pub(super) fn detect_dead_peer(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
@@ -153,10 +154,10 @@
         .with_interval(KEEPALIVE_INTERVAL)
         .with_retries(KEEPALIVE_RETRIES);
     socket.set_tcp_keepalive(&keepalive)?;
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))
+    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT))
 }
 
-/// Builds a request with a JSON body, or none for an empty one.
+/// Builds a request with a JSON body, which may be empty.
 pub fn json_request(method: Method, path: &str, host: &str, body: Bytes) -> Request<RequestBody> {
     let mut request = Request::new(Full::new(body));
     *request.method_mut() = method;
--- a/src/gateway/net/mod.rs
+++ b/src/gateway/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets: HTTP connections, the pool of connections to upstreams, and the
+//! Networking: HTTP client connections, the connection pool for upstreams, and the HTTP
 //! server for callers.
 
 mod connect;
--- a/src/gateway/net/pool.rs
+++ b/src/gateway/net/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to upstreams, each used by one request at a time.
+//! Pool of connections to upstreams, each used by one request at a time.
 
 use std::{
     cell::RefCell,
@@ -14,148 +14,150 @@
 use crate::clock;
 use crate::gateway::model::Lifetime;
 
-/// Longest time to open a connection to an upstream. Upstreams accept within
-/// some milliseconds; a longer silence is that of a host that is gone.
+/// Timeout for opening a connection to an upstream. Upstreams accept within a few
+/// milliseconds; one that takes longer is on a host that is gone.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long an idle connection is kept if the upstream names no time. The
-/// upstream names whole seconds, so no name means less than one.
-const UNNAMED_IDLE: Duration = Duration::from_millis(500);
-/// Time before the named end at which an idle connection is given up, so that
-/// no request crosses the upstream's close.
+/// Idle timeout of a connection if the upstream states none. Upstreams state whole seconds,
+/// so one that states none keeps connections for less than a second.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Time before the idle timeout of the upstream at which a connection is no longer used, so
+/// that no request is sent while the upstream closes it.
 const IDLE_MARGIN: Duration = Duration::from_millis(300);
 
-/// Why no connection is to be had.
+/// Why no connection could be acquired.
 #[derive(Debug, Error)]
 pub enum PoolError {
-    /// The upstream accepts no more connections from this process.
+    /// The limit on connections from this process to the upstream is reached.
     #[error("all connections to the upstream are in use")]
     Full,
-    /// The upstream cannot be reached; nothing was sent.
+    /// The connection could not be opened; nothing was sent.
     #[error(transparent)]
     Connect(#[from] ConnectError),
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: HttpConnection,
     until: Instant,
 }
 
 #[derive(Debug, Default)]
 struct Connections {
-    idle: Vec<Idle>,
+    idle: Vec<IdleConnection>,
     open: usize,
 }
 
 type Shared = Rc<RefCell<HashMap<Lifetime, Connections>>>;
 
-/// Kept connections by upstream. Those to an earlier lifetime, which may stay open
-/// in silence, are never used again.
+/// Connection pool, keyed by upstream lifetime. Connections to an earlier lifetime of an
+/// upstream are never reused: they may look open although nobody answers on them.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     shared: Shared,
 }
 
 impl Pool {
-    /// Takes a kept connection, the most recently used first, or opens one.
+    /// Returns the most recently used idle connection, or opens a new one.
     ///
     /// # Errors
     ///
-    /// Fails if `most` are in use, or the upstream cannot be reached.
+    /// Fails if `max_open` connections are open or the upstream cannot be reached.
     pub async fn acquire(
         &self,
         upstream: Lifetime,
         address: SocketAddr,
-        most: usize,
+        max_open: usize,
     ) -> Result<Lease, PoolError> {
-        let kept = self.reserve(upstream, most)?;
-        let mut lease = Lease { upstream, shared: self.shared.clone(), connection: kept };
-        if lease.connection.is_none() {
-            lease.connection = Some(connect(address, CONNECT_TIMEOUT).await?);
+        let idle = self.reserve(upstream, max_open)?;
+        let mut pooled = Lease { upstream, shared: self.shared.clone(), connection: idle };
+        if pooled.connection.is_none() {
+            pooled.connection = Some(connect(address, CONNECT_TIMEOUT).await?);
         }
-        Ok(lease)
+        Ok(pooled)
     }
 
-    /// Opens a connection, also where one is kept: it shows whether the upstream accepts.
+    /// Opens a new connection even if one is idle, which tests whether the upstream still
+    /// accepts connections.
     ///
     /// # Errors
     ///
-    /// Fails if `most` are in use, or the upstream cannot be reached.
+    /// Fails if `max_open` connections are open or the upstream cannot be reached.
     pub async fn open_new(
         &self,
         upstream: Lifetime,
         address: SocketAddr,
-        most: usize,
+        max_open: usize,
     ) -> Result<Lease, PoolError> {
         {
             let mut shared = self.shared.borrow_mut();
-            let of_upstream = shared.entry(upstream).or_default();
-            of_upstream.count_new(most)?;
+            let connections = shared.entry(upstream).or_default();
+            connections.reserve_new(max_open)?;
         }
-        let mut lease = Lease { upstream, shared: self.shared.clone(), connection: None };
-        lease.connection = Some(connect(address, CONNECT_TIMEOUT).await?);
-        Ok(lease)
+        let mut pooled = Lease { upstream, shared: self.shared.clone(), connection: None };
+        pooled.connection = Some(connect(address, CONNECT_TIMEOUT).await?);
+        Ok(pooled)
     }
 
-    /// Returns whether a connection is kept that is free.
+    /// Returns whether there is an idle connection to the upstream.
     pub fn has_kept(&self, upstream: Lifetime, now: Instant) -> bool {
         let shared = self.shared.borrow();
         shared.get(&upstream).is_some_and(|c| c.idle.iter().any(|idle| idle.until > now))
     }
 
-    /// Counts a connection as in use and returns it if one is kept.
+    /// Takes an idle connection if there is one; otherwise counts a new one as open and
+    /// returns `None`.
     fn reserve(
         &self,
         upstream: Lifetime,
-        most: usize,
+        max_open: usize,
     ) -> Result<Option<HttpConnection>, PoolError> {
         let mut shared = self.shared.borrow_mut();
-        let of_upstream = shared.entry(upstream).or_default();
-        of_upstream.prune(clock::now());
-        if let Some(idle) = of_upstream.idle.pop() {
+        let connections = shared.entry(upstream).or_default();
+        connections.close_expired(clock::now());
+        if let Some(idle) = connections.idle.pop() {
             return Ok(Some(idle.connection));
         }
-        of_upstream.count_new(most)?;
+        connections.reserve_new(max_open)?;
         Ok(None)
     }
 
-    /// Closes connections that have been idle for too long, and those of
-    /// upstreams that are not `known`.
+    /// Closes connections that have been idle for too long, and idle ones to lifetimes that
+    /// are not `known`.
     pub fn sweep(&self, now: Instant, known: impl Fn(Lifetime) -> bool) {
         let mut shared = self.shared.borrow_mut();
-        for (upstream, of_upstream) in shared.iter_mut() {
-            of_upstream.prune(if known(*upstream) {
+        for (upstream, connections) in shared.iter_mut() {
+            connections.close_expired(if known(*upstream) {
                 now
             } else {
                 now + Duration::from_secs(3_600)
             });
         }
-        shared.retain(|_, of_upstream| of_upstream.open > 0);
+        shared.retain(|_, connections| connections.open > 0);
     }
 
-    /// Returns the number of open connections.
+    /// Returns the number of open connections, idle ones included.
     pub fn open(&self) -> usize {
         self.shared.borrow().values().map(|c| c.open).sum()
     }
 }
 
 impl Connections {
-    fn count_new(&mut self, most: usize) -> Result<(), PoolError> {
-        if self.open >= most {
+    fn reserve_new(&mut self, max_open: usize) -> Result<(), PoolError> {
+        if self.open >= max_open {
             return Err(PoolError::Full);
         }
         self.open += 1;
         Ok(())
     }
 
-    fn prune(&mut self, now: Instant) {
+    fn close_expired(&mut self, now: Instant) {
         let before = self.idle.len();
         self.idle.retain(|idle| idle.until > now && idle.connection.is_open());
         self.open -= before - self.idle.len();
     }
 }
 
-/// A connection that one request uses. It is closed when dropped.
+/// A connection in use by one request. It is closed when dropped, unless it was given back.
 #[derive(Debug)]
 pub struct Lease {
     upstream: Lifetime,
@@ -164,31 +166,31 @@
 }
 
 impl Lease {
-    /// Returns the connection.
+    /// Returns the underlying connection.
     pub fn connection(&mut self) -> &mut HttpConnection {
-        self.connection.as_mut().expect("a lease holds its connection until it is given back")
+        self.connection.as_mut().expect("the connection is present until it is given back")
     }
 
-    /// Gives the connection back for other requests; `keep_alive` is the idle
-    /// time that the upstream named.
+    /// Returns the connection to the pool if it is still open; `keep_alive` is the idle
+    /// timeout that the upstream stated.
     pub fn give_back(mut self, keep_alive: Option<Duration>) {
-        let keep = keep_alive.map_or(UNNAMED_IDLE, |t| t.saturating_sub(IDLE_MARGIN));
-        let until = clock::now() + keep;
+        let idle_time = keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |t| t.saturating_sub(IDLE_MARGIN));
+        let until = clock::now() + idle_time;
         let Some(connection) = self.connection.take().filter(HttpConnection::is_open) else {
             return;
         };
         let mut shared = self.shared.borrow_mut();
-        let of_upstream = shared.entry(self.upstream).or_default();
-        of_upstream.idle.push(Idle { connection, until });
-        // `drop` takes one off for the lease; the kept connection stays counted.
-        of_upstream.open += 1;
+        let connections = shared.entry(self.upstream).or_default();
+        connections.idle.push(IdleConnection { connection, until });
+        // Dropping `self` decrements the count, but the idle connection is still open.
+        connections.open += 1;
     }
 }
 
 impl Drop for Lease {
     fn drop(&mut self) {
-        if let Some(of_upstream) = self.shared.borrow_mut().get_mut(&self.upstream) {
-            of_upstream.open = of_upstream.open.saturating_sub(1);
+        if let Some(connections) = self.shared.borrow_mut().get_mut(&self.upstream) {
+            connections.open = connections.open.saturating_sub(1);
         }
     }
 }
--- a/src/gateway/net/server.rs
+++ b/src/gateway/net/server.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 server on a listener.
+//! HTTP/1.1 server.
 
 use std::{
     future::Future,
@@ -26,32 +26,32 @@
     time::sleep,
 };
 
-use super::{Shutdown, connect::watch_peer};
+use super::{Shutdown, connect::detect_dead_peer};
 
-/// Longest time that a connection may be idle, or a head incomplete. The
-/// operator's limit is fifteen seconds; callers reuse connections that have
-/// been idle for up to four fifths of it, so a longer wait harms nobody.
-const IDLE_LIMIT: Duration = Duration::from_secs(20);
-/// Largest head of a request, in bytes; the operator allows 16,384.
-const HEAD_LIMIT: usize = 64 << 10;
-/// Pause after a failed accept, for example when descriptors have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Timeout for idle connections and incomplete request heads. The operator's limit is 15 s,
+/// and callers reuse connections that have been idle for up to four fifths of it, so a
+/// longer timeout does no harm.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Maximum size of a request head; the limit in the configuration is 16,384.
+const MAX_HEAD_BYTES: usize = 64 << 10;
+/// Delay after a failed accept, for example when the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Why a body ended before its end.
+/// Why the body of an answer is incomplete.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The upstream broke off and nobody could go on.
+    /// The upstream broke off and no other upstream could resume the stream.
     #[error("the upstream broke off")]
     BrokenOff,
-    /// The time for the answer is over.
+    /// The deadline of the request has passed.
     #[error("the time for the answer is over")]
     TimeOver,
 }
 
-/// Body of an answer to a caller.
+/// Body of an answer to a caller, buffered or streamed.
 pub type AnswerBody = UnsyncBoxBody<Bytes, BodyError>;
 
-/// Wraps bytes as the body of an answer.
+/// Creates a body from a buffer.
 pub fn full_body(bytes: impl Into<Bytes>) -> AnswerBody {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
@@ -72,43 +72,48 @@
     }
 }
 
-/// Returns a body that passes on what is sent to a channel. An error ends the
-/// connection, so that the answer cannot look complete.
+/// Returns a body that streams the data received from a channel. An error closes the
+/// connection, so that the caller cannot mistake the answer for a complete one.
 pub fn channel_body(rx: Receiver<Result<Bytes, BodyError>>) -> AnswerBody {
     ChannelBody { rx }.boxed_unsync()
 }
 
-/// Answers requests.
+/// Handler of the requests that a server receives.
 pub trait Service {
-    /// Answers a request.
+    /// Handles a request and returns the answer.
     fn answer(
         self: Rc<Self>,
         request: Request<Incoming>,
     ) -> impl Future<Output = Response<AnswerBody>>;
 }
 
-/// Serves connections until the process ends.
-pub async fn serve<S: Service + 'static>(listener: TcpListener, service: Rc<S>, end: Shutdown) {
+/// Accepts and serves connections until the process ends. Connections are shut down gracefully
+/// once `shutdown` reaches [`super::Phase::Closing`].
+pub async fn serve<S: Service + 'static>(
+    listener: TcpListener,
+    service: Rc<S>,
+    shutdown: Shutdown,
+) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                spawn_local(connection(stream, peer, service.clone(), end.clone()));
+                spawn_local(serve_one(stream, peer, service.clone(), shutdown.clone()));
             }
             Err(e) => {
                 log::warn!("accept failed: {e}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-async fn connection<S: Service>(
+async fn serve_one<S: Service>(
     stream: TcpStream,
     peer: SocketAddr,
     service: Rc<S>,
-    end: Shutdown,
+    shutdown: Shutdown,
 ) {
-    if let Err(e) = watch_peer(&stream) {
+    if let Err(e) = detect_dead_peer(&stream) {
         log::debug!("{peer}: {e}");
     }
     let answer = service_fn(|request| {
@@ -116,12 +121,12 @@
         async move { Ok::<_, std::convert::Infallible>(service.answer(request).await) }
     });
     let mut http = Builder::new();
-    http.timer(TokioTimer::new()).header_read_timeout(IDLE_LIMIT).max_buf_size(HEAD_LIMIT);
+    http.timer(TokioTimer::new()).header_read_timeout(IDLE_TIMEOUT).max_buf_size(MAX_HEAD_BYTES);
     let serving = http.serve_connection(TokioIo::new(stream), answer);
     tokio::pin!(serving);
     let ended = tokio::select! {
         ended = serving.as_mut() => ended,
-        () = end.closing() => {
+        () = shutdown.closing() => {
             serving.as_mut().graceful_shutdown();
             serving.await
         }
--- a/src/gateway/net/shutdown.rs
+++ b/src/gateway/net/shutdown.rs
@@ -1,25 +1,25 @@
-//! How far this process has got with leaving.
+//! Phases of the graceful shutdown of this process.
 
 use serde::{Deserialize, Serialize};
 use tokio::sync::watch;
 
-/// How far this process has got with leaving.
+/// Phase of the graceful shutdown, in ascending order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
-    /// Serves.
+    /// Normal operation.
     #[default]
     Serving,
-    /// Is no longer named to callers; serves those that still come, and closes
-    /// each connection with its answer.
+    /// Address lookups no longer return this process. Requests that still arrive are served,
+    /// and each connection is closed after its answer.
     Leaving,
-    /// Refuses new requests; those in progress end.
+    /// New requests are refused; those in progress run to their end.
     Refusing,
-    /// Closes connections that are idle.
+    /// Idle connections are closed.
     Closing,
 }
 
-/// Tells connections how far the process has got with leaving.
+/// Publishes the phase of the graceful shutdown to all connections.
 #[derive(Clone, Debug)]
 pub struct Shutdown {
     tx: watch::Sender<Phase>,
@@ -32,12 +32,12 @@
 }
 
 impl Shutdown {
-    /// Returns the phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         *self.tx.borrow()
     }
 
-    /// Goes on to a phase; it never goes back.
+    /// Advances to `phase`. Does nothing if a later phase was reached already.
     pub fn advance(&self, phase: Phase) {
         self.tx.send_if_modified(|current| {
             let later = phase > *current;
@@ -46,10 +46,10 @@
         });
     }
 
-    /// Returns once the process closes idle connections.
+    /// Waits for [`Phase::Closing`].
     pub async fn closing(&self) {
         let mut rx = self.tx.subscribe();
-        // The sender lives as long as `self`.
+        // Cannot fail: `self` holds the sender.
         drop(rx.wait_for(|phase| *phase >= Phase::Closing).await);
     }
 }
--- a/src/gateway/telemetry/event.rs
+++ b/src/gateway/telemetry/event.rs
@@ -1,399 +1,399 @@
-//! Everything that the log can say: one variant a kind of line.
+//! Events of the structured log.
 
 use serde::Serialize;
 
 use crate::{gateway::net::Phase, platform::OrderOutcome};
 
-/// Classes of lines, each with a budget of its own.
+/// Class of an event; each class has its own budget of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum EventClass {
-    /// Refusals and failures of requests.
+    /// Refused and failed requests and failed attempts.
     Failure,
-    /// Decisions on requests that go well.
+    /// Attempts and successful answers.
     Request,
-    /// Changes of what the process believes, and its own life.
+    /// Changes in what the process knows of other components, and in its own state.
     Belief,
 }
 
-/// A line of the log.
+/// An event, written as one line of the log.
 #[derive(Clone, Debug, Serialize)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Event<'a> {
-    /// The process serves.
+    /// The process has started to serve.
     Started {
         /// Version of the program.
         version: &'a str,
     },
-    /// The settings were read again.
+    /// The settings were reloaded.
     Reloaded {
-        /// Whether they could be used.
+        /// Whether the new settings are valid.
         usable: bool,
     },
-    /// The host was suspended: nothing ran meanwhile.
+    /// The host was suspended and has resumed.
     Suspended {
-        /// For how long, in milliseconds.
+        /// Length of the suspension, in milliseconds.
         for_ms: u64,
     },
-    /// The process goes on with leaving.
+    /// The graceful shutdown of the process entered a new phase.
     Leaving {
-        /// How far it has got.
+        /// The new phase.
         phase: Phase,
-        /// Requests in progress.
+        /// Number of requests in progress.
         in_progress: usize,
     },
-    /// A dependency answers again.
+    /// A dependency answers again after an outage.
     DependencyRegained {
-        /// Which.
+        /// Name of the dependency.
         dependency: &'a str,
-        /// For how long it did not answer, in milliseconds.
+        /// Length of the outage, in milliseconds.
         after_ms: u64,
     },
-    /// A dependency does not answer.
+    /// A dependency has stopped answering.
     DependencyLost {
-        /// Which.
+        /// Name of the dependency.
         dependency: &'a str,
-        /// Why.
+        /// Reason, as text.
         error: &'a str,
     },
-    /// A call to the platform's store brought no answer that can be used.
+    /// A call to the platform's store returned no usable answer.
     StoreCallFailed {
-        /// What was called.
+        /// Name of the call.
         call: &'a str,
         /// Time since the call began, in milliseconds.
         after_ms: u64,
-        /// Why.
+        /// Reason, as text.
         error: &'a str,
     },
-    /// What is known of the store has grown old: there may be something newer.
+    /// The local copy of store data is stale: the store may have newer data.
     KnowledgeOld {
-        /// What it is knowledge of.
+        /// Kind of data.
         of: &'a str,
-        /// Its age, in milliseconds.
+        /// Age of the copy, in milliseconds.
         age_ms: u64,
-        /// Revision up to which it is known.
+        /// Revision up to which the copy is complete.
         position: u64,
     },
-    /// What is known of the store is new again.
+    /// The local copy of store data is up to date again.
     KnowledgeFresh {
-        /// What it is knowledge of.
+        /// Kind of data.
         of: &'a str,
-        /// For how long it was old, in milliseconds.
+        /// Time for which the copy was stale, in milliseconds.
         after_ms: u64,
-        /// Revision up to which it is known.
+        /// Revision up to which the copy is complete.
         position: u64,
     },
-    /// A configuration is in force.
+    /// A configuration has taken effect.
     Configuration {
-        /// Its version.
+        /// Version of the new configuration.
         version: u64,
-        /// Version before; 0 for none.
+        /// Version of the previous configuration; 0 if there was none.
         before: u64,
-        /// Where it came from.
+        /// Source that it was received from.
         source: &'a str,
     },
-    /// An upstream is known, changed or gone.
+    /// An upstream was added, has changed or is gone.
     Upstream {
-        /// The upstream.
+        /// Identifier of the upstream.
         upstream: &'a str,
-        /// Its service.
+        /// Service of the upstream.
         service: &'a str,
-        /// Its data centre.
+        /// Data centre of the upstream.
         data_centre: &'a str,
-        /// Whether it may be reclaimed.
+        /// Whether the data centre may reclaim its host.
         reclaimable: bool,
-        /// What it is now.
+        /// New state.
         state: &'a str,
-        /// Revision of the store that says so.
+        /// Revision of the store that the change is known from.
         revision: u64,
     },
-    /// The row of an upstream was removed, and the upstream may serve on.
+    /// The row of an upstream was removed, but the upstream may still be serving.
     RowMissing {
-        /// The upstream.
+        /// Identifier of the upstream.
         upstream: &'a str,
-        /// Revision of the store that says so.
+        /// Revision of the store that the change is known from.
         revision: u64,
-        /// Who said so: the store, or another gateway.
+        /// Source of the information: the store or another gateway.
         source: &'a str,
-        /// Time since its row was last known to be there, in milliseconds.
+        /// Time since the row was last known to exist, in milliseconds.
         last_seen_ms: u64,
-        /// How much longer its row may come back, in milliseconds.
+        /// Remaining time in which the row may reappear, in milliseconds.
         for_ms: u64,
-        /// Whether it has lapsed, as others that are missing show.
+        /// Whether the row is taken to have lapsed, because other rows are missing as well.
         lapsed: bool,
     },
-    /// A row that is missing has lapsed, as others that are missing show: its upstream takes
-    /// work until it has had time to write it again.
+    /// A missing row is taken to have lapsed, because other rows are missing as well. Its
+    /// upstream keeps receiving requests until it has had time to write the row again.
     RowLapsed {
-        /// The upstream.
+        /// Identifier of the upstream.
         upstream: &'a str,
         /// Revision of the store that removed the row.
         revision: u64,
     },
-    /// The rate limit of an upstream has begun, changed or ended.
+    /// The rate limit of an upstream was set, changed or removed.
     RateLimit {
-        /// The upstream.
+        /// Identifier of the upstream.
         upstream: &'a str,
-        /// Requests a second that it takes from all gateways together; `null` for no limit.
+        /// Limit for all gateways together, in requests per second; `null` if there is none.
         rate: Option<f64>,
-        /// The request whose answer said so; empty if another gateway told it.
+        /// Request whose answer carried the signal; empty if another gateway reported it.
         request: &'a str,
     },
-    /// An upstream said in an answer that it leaves.
+    /// An upstream announced in an answer that it is leaving.
     SaidLeaving {
-        /// The upstream.
+        /// Identifier of the upstream.
         upstream: &'a str,
-        /// The request whose answer said so; empty if another gateway told it.
+        /// Request whose answer carried the signal; empty if another gateway reported it.
         request: &'a str,
     },
-    /// An upstream turned a request away and asked for rest.
+    /// An upstream refused a request and requested a back-off.
     Rest {
-        /// The upstream.
+        /// Identifier of the upstream.
         upstream: &'a str,
-        /// For how long it wants no requests from this process, in milliseconds.
+        /// Time for which it wants no requests from this process, in milliseconds.
         for_ms: u64,
-        /// The request whose answer said so.
+        /// Request that was refused.
         request: &'a str,
     },
-    /// An upstream says something of itself in an answer that cannot be used.
+    /// An answer of an upstream carried an invalid signal.
     SignalRejected {
-        /// The upstream.
+        /// Identifier of the upstream.
         upstream: &'a str,
-        /// The request whose answer it was.
+        /// Request that the answer belongs to.
         request: &'a str,
-        /// Why.
+        /// Reason, as text.
         error: &'a str,
     },
     /// An upstream ended while it ran requests of this process.
     UpstreamEnded {
-        /// The upstream.
+        /// Identifier of the upstream.
         upstream: &'a str,
-        /// Digests of what it ran.
+        /// Digests of the requests that it was running.
         under: &'a [String],
     },
-    /// A request was quarantined, since upstreams end under it, or released.
+    /// A request was quarantined because upstreams ended while running it, or released.
     Verdict {
         /// Digest of the request.
         digest: &'a str,
-        /// Customer; empty for an open route.
+        /// Name of the customer; empty on an open route.
         customer: &'a str,
-        /// Ends under it that are known here.
+        /// Known number of upstreams that ended while running the request.
         ends: usize,
-        /// What it is now.
+        /// New state.
         state: &'a str,
-        /// Who found it: this process, the store, another gateway, an operator.
+        /// Source of the verdict: this process, the store, another gateway or an operator.
         source: &'a str,
     },
-    /// A row of the store names no upstream.
+    /// An upstream row of the store could not be decoded.
     EntryRejected {
         /// Key of the row.
         entry: &'a str,
-        /// Why, in a word.
+        /// Cause, as in the metric of rejected entries.
         cause: &'a str,
-        /// Why.
+        /// Reason, as text.
         error: &'a str,
-        /// Revision of the store at which it was written.
+        /// Revision of the store at which the row was written.
         revision: u64,
     },
-    /// A gateway is heard of, or no longer.
+    /// Another gateway appeared or was lost.
     Peer {
-        /// The process.
+        /// Identifier of that gateway.
         process: &'a str,
-        /// What it is now.
+        /// New state.
         state: &'a str,
     },
-    /// The lease on the duties changed.
+    /// The state of the lease on the duties changed.
     Lease {
-        /// Fencing number; 0 for none.
+        /// Fencing token; 0 if there is none.
         fence: u64,
-        /// What happened.
+        /// New state of the lease.
         state: &'a str,
     },
     /// A usage report was sent.
     Usage {
-        /// Window.
+        /// Number of the reported window.
         window: u64,
-        /// Requests in all.
+        /// Total number of requests in the report.
         total: u64,
-        /// Fencing number.
+        /// Fencing token.
         fence: u64,
-        /// What became of it.
+        /// Outcome of the call.
         outcome: &'a str,
     },
     /// Engines were ordered.
     Engines {
-        /// Service.
+        /// Name of the service.
         service: &'a str,
-        /// Data centre.
+        /// Data centre that the engines run in.
         data_centre: &'a str,
-        /// Whether they may be reclaimed.
+        /// Whether the order is for reclaimable engines.
         reclaimable: bool,
-        /// How many are wished for.
+        /// Desired number of engines.
         count: u32,
-        /// Engines that the load needs.
+        /// Number of engines that the load requires.
         needed: f64,
-        /// Prompt tokens that an engine reads in a second, as learnt.
+        /// Measured prefill rate of an engine, in prompt tokens per second.
         tokens_per_second: Option<f64>,
-        /// Fencing number.
+        /// Fencing token.
         fence: u64,
-        /// What became of it.
+        /// Outcome of the call.
         outcome: Option<OrderOutcome>,
-        /// Why it failed.
+        /// Why the call failed; empty if it did not.
         error: &'a str,
     },
-    /// The clock of this process was wrong.
+    /// The clock of this process was corrected.
     Clock {
-        /// Correction in milliseconds.
+        /// Size of the correction, in milliseconds.
         correction_ms: f64,
     },
-    /// A request lies beyond its customer's quota.
+    /// A request was refused because it exceeds the quota of its customer.
     QuotaUsedUp {
-        /// Request.
+        /// Identifier of the request.
         request: &'a str,
-        /// Customer.
+        /// Name of the customer.
         customer: &'a str,
-        /// Tokens that it asks for.
+        /// Tokens that the request is charged.
         tokens: u64,
-        /// Tokens a second that the customer may use.
+        /// Refill rate of the quota, in tokens per second.
         rate: f64,
-        /// Tokens in the bucket; a debt if negative.
+        /// Tokens in the bucket; negative if it is overdrawn.
         level: f64,
-        /// Tokens admitted in the operator's window, by all processes.
+        /// Tokens admitted by all gateways in the operator's window.
         in_window: f64,
-        /// Tokens that silent processes are taken to have admitted since.
+        /// Tokens that gateways without recent heartbeats are assumed to have admitted since.
         assumed: f64,
-        /// Processes heard, this one included.
+        /// Number of gateways with recent heartbeats, including this one.
         heard: usize,
-        /// Processes that may be serving.
+        /// Number of gateways that may be serving.
         members: usize,
-        /// After which time the caller is asked to come back, in milliseconds.
+        /// Time after which the caller is asked to retry, in milliseconds.
         wait_ms: u64,
     },
-    /// A request is not sent, since upstreams ended under it.
+    /// A request was not sent because upstreams ended while running the same request.
     NotSent {
-        /// Request.
+        /// Identifier of the request.
         request: &'a str,
-        /// Digest, the same whenever the same is asked for.
+        /// Digest of the request, see [`crate::gateway::model::RequestDigest`].
         digest: &'a str,
-        /// Customer; empty for an open route.
+        /// Name of the customer; empty on an open route.
         customer: &'a str,
-        /// Ends under it that are known here.
+        /// Known number of upstreams that ended while running the request.
         ends: usize,
-        /// Whether it is quarantined, or a copy of it runs.
+        /// Whether the request is quarantined or a copy of it is running.
         state: &'a str,
     },
-    /// A request is sent to an upstream.
+    /// A request was sent to an upstream.
     Attempt {
-        /// Request.
+        /// Identifier of the request.
         request: &'a str,
-        /// Digest, the same whenever the same is asked for.
+        /// Digest of the request, see [`crate::gateway::model::RequestDigest`].
         digest: &'a str,
-        /// Route.
+        /// Name of the route.
         route: &'a str,
-        /// Upstream.
+        /// Identifier of the upstream.
         upstream: &'a str,
         /// Number of the attempt, from 1.
         attempt: u32,
-        /// Candidates that it was chosen from.
+        /// Number of candidates that the upstream was chosen from.
         candidates: usize,
-        /// Those among them that hold the shared part of the prompt, as believed.
+        /// Number of candidates estimated to have the shared prompt prefix in their cache.
         holders: usize,
         /// Predicted time to the first token, in milliseconds.
         predicted_ms: u64,
-        /// Requests there, as believed.
+        /// Estimated number of requests at the upstream.
         running: f64,
-        /// Tokens there to be read, as believed.
+        /// Estimated number of prompt tokens that the upstream has yet to process.
         pending_tokens: f64,
-        /// Tokens of the prompt.
+        /// Number of tokens of the prompt.
         prompt_tokens: u32,
-        /// Those that it has to read, as believed.
+        /// Estimated number of prompt tokens that are not in the cache of the upstream.
         missing_tokens: f64,
         /// Version of the configuration.
         configuration: u64,
-        /// Revision of the list of upstreams.
+        /// Revision of the upstream list that the choice was based on.
         upstreams: u64,
-        /// Age of the list, in milliseconds.
+        /// Age of the upstream list, in milliseconds; `None` if it is unknown.
         upstreams_age_ms: Option<u64>,
-        /// Whether the upstream is known to leave.
+        /// Whether the upstream is known to be leaving.
         leaving: bool,
         /// Whether the upstream's row is missing.
         row_missing: bool,
     },
     /// An attempt failed.
     AttemptFailed {
-        /// Request.
+        /// Identifier of the request.
         request: &'a str,
-        /// Digest, the same whenever the same is asked for.
+        /// Digest of the request, see [`crate::gateway::model::RequestDigest`].
         digest: &'a str,
-        /// Upstream.
+        /// Identifier of the upstream.
         upstream: &'a str,
         /// Time since the attempt began, in milliseconds.
         after_ms: u64,
-        /// How.
+        /// How the attempt failed.
         cause: &'a str,
-        /// Whether the request may have run.
+        /// Whether the upstream may have run the request.
         may_have_run: bool,
-        /// What follows.
+        /// Next step, such as a retry.
         next: &'a str,
     },
-    /// A request was answered or refused.
+    /// The answer to a request, or its refusal, was completed.
     Answered {
-        /// Request.
+        /// Identifier of the request.
         request: &'a str,
-        /// Route; empty if none is known.
+        /// Name of the route; empty if it is unknown.
         route: &'a str,
-        /// Customer; empty if none is known.
+        /// Name of the customer; empty if it is unknown.
         customer: &'a str,
-        /// Status.
+        /// HTTP status.
         status: u16,
-        /// How it ended.
+        /// Outcome of the request.
         outcome: &'a str,
-        /// Time since it came, in milliseconds.
+        /// Time since the request arrived, in milliseconds.
         took_ms: u64,
-        /// Time to the first byte, in milliseconds.
+        /// Time to the first byte of the answer, in milliseconds.
         first_ms: u64,
-        /// Version of the configuration that decided.
+        /// Version of the configuration that the request was handled with.
         configuration: u64,
-        /// Its age at the end, in milliseconds.
+        /// Age of that configuration at the end, in milliseconds; `None` if it is unknown.
         configuration_age_ms: Option<u64>,
     },
-    /// A roll-out has got to another state.
+    /// The state of a roll-out changed.
     Rollout {
-        /// Service.
+        /// Name of the service.
         service: &'a str,
-        /// Version that is to get the traffic.
+        /// Version that the traffic moves to.
         destination: &'a str,
-        /// Revision of the order.
+        /// Revision of the store at which the order was written.
         revision: u64,
-        /// State.
+        /// New state.
         state: &'a str,
-        /// Why.
+        /// Reason, as text.
         cause: &'a str,
-        /// Requests to the service since the order, as far as they are known.
+        /// Known number of requests to the service since the order.
         arrived: u32,
-        /// Those among them that the new version got.
+        /// Number of these requests that were sent to the new version.
         exposed: u32,
     },
-    /// An order to roll out a version cannot be read.
+    /// A roll-out order could not be decoded.
     RolloutRejected {
-        /// Service.
+        /// Name of the service.
         service: &'a str,
-        /// Why.
+        /// Reason, as text.
         error: &'a str,
-        /// Revision of the order.
+        /// Revision of the store at which the order was written.
         revision: u64,
     },
-    /// Lines that were left out to keep the volume bounded.
+    /// Log lines were dropped because a budget was used up or the queue was full.
     LeftOut {
-        /// Class of the lines.
+        /// Class of the dropped lines.
         class: EventClass,
-        /// How many.
+        /// Number of dropped lines.
         lines: u64,
     },
 }
 
 impl Event<'_> {
-    /// Returns the class of the line.
+    /// Returns the class whose budget the event counts against.
     pub fn class(&self) -> EventClass {
         match self {
             Self::Attempt { .. } => EventClass::Request,
--- a/src/gateway/telemetry/journal.rs
+++ b/src/gateway/telemetry/journal.rs
@@ -1,9 +1,8 @@
-//! The log: one JSON line an event on standard output.
+//! Structured event log: one JSON object per line, written to standard output.
 //!
-//! Each class of lines has a budget a second; what is over it is counted and
-//! told in a summary. Lines are written by a thread of their own, so that a
-//! reader that stalls holds up nobody; when its queue is full, lines are
-//! dropped and counted, too.
+//! Each event class has a budget of lines per second. Lines beyond it are dropped, and a
+//! summary reports how many. A separate thread writes the lines, so that a stalled reader
+//! does not block the gateway; when its queue is full, lines are dropped and counted as well.
 
 use std::{
     cell::RefCell,
@@ -20,14 +19,14 @@
 use crate::clock;
 use crate::time::unix_millis;
 
-/// Lines that wait for the writer at most.
-const QUEUE: usize = 4_096;
-/// Lines of a class in a second at most: two lines for each request of a busy process
-/// fit twice over.
+/// Maximum number of lines queued for the writer thread.
+const QUEUE_LINES: usize = 4_096;
+/// Maximum number of lines per second by class; twice what a busy process needs, which writes
+/// two lines for each request.
 const LINES_PER_SECOND: [(EventClass, u32); 3] =
     [(EventClass::Failure, 200), (EventClass::Request, 120), (EventClass::Belief, 200)];
-/// Length of the span in which lines are counted.
-const SPAN: Duration = Duration::from_secs(1);
+/// Time window in which lines are counted.
+const WINDOW: Duration = Duration::from_secs(1);
 
 #[derive(Serialize)]
 struct Line<'a> {
@@ -38,34 +37,34 @@
 }
 
 #[derive(Debug)]
-struct Span {
+struct Window {
     began: Instant,
     lines: HashMap<EventClass, u32>,
-    left_out: HashMap<EventClass, u64>,
+    dropped: HashMap<EventClass, u64>,
 }
 
-/// Writes events to the log.
+/// Rate-limited writer of events to the log.
 #[derive(Debug)]
 pub struct Journal {
     process: String,
     tx: SyncSender<Vec<u8>>,
-    span: RefCell<Span>,
+    window: RefCell<Window>,
 }
 
 impl Journal {
-    /// Creates the log of a process, written to `out`.
+    /// Creates the log of the gateway `process` and starts a thread that writes it to `out`.
     pub fn new(process: String, out: impl Write + Send + 'static) -> Self {
-        let (tx, rx) = sync_channel(QUEUE);
+        let (tx, rx) = sync_channel(QUEUE_LINES);
         thread::spawn(move || write_lines(&rx, out));
-        let span = Span { began: clock::now(), lines: HashMap::new(), left_out: HashMap::new() };
-        Self { process, tx, span: RefCell::new(span) }
+        let window = Window { began: clock::now(), lines: HashMap::new(), dropped: HashMap::new() };
+        Self { process, tx, window: RefCell::new(window) }
     }
 
-    /// Writes an event, or counts it if its class is over its budget.
+    /// Writes an event, or drops and counts it if the budget of its class is used up.
     pub fn write(&self, event: &Event<'_>) {
-        self.turn_span(clock::now());
+        self.start_new_window(clock::now());
         let class = event.class();
-        if !self.span.borrow_mut().admits(class) {
+        if !self.window.borrow_mut().admits(class) {
             return;
         }
         self.send(event);
@@ -79,32 +78,35 @@
         };
         buf.push(b'\n');
         if let Err(TrySendError::Full(_)) = self.tx.try_send(buf) {
-            *self.span.borrow_mut().left_out.entry(event.class()).or_default() += 1;
+            *self.window.borrow_mut().dropped.entry(event.class()).or_default() += 1;
         }
     }
 
-    fn turn_span(&self, now: Instant) {
-        let left_out = {
-            let mut span = self.span.borrow_mut();
-            if now.saturating_duration_since(span.began) < SPAN {
+    fn start_new_window(&self, now: Instant) {
+        let dropped = {
+            let mut window = self.window.borrow_mut();
+            if now.saturating_duration_since(window.began) < WINDOW {
                 return;
             }
-            span.began = now;
-            span.lines.clear();
-            std::mem::take(&mut span.left_out)
+            window.began = now;
+            window.lines.clear();
+            std::mem::take(&mut window.dropped)
         };
-        for (class, lines) in left_out {
+        for (class, lines) in dropped {
             self.send(&Event::LeftOut { class, lines });
         }
     }
 }
 
-impl Span {
+impl Window {
     fn admits(&mut self, class: EventClass) -> bool {
-        let most = LINES_PER_SECOND.iter().find(|(c, _)| *c == class).map_or(0, |(_, most)| *most);
+        let max_lines = LINES_PER_SECOND
+            .iter()
+            .find(|(c, _)| *c == class)
+            .map_or(0, |(_, max_lines)| *max_lines);
         let lines = self.lines.entry(class).or_default();
-        if *lines >= most {
-            *self.left_out.entry(class).or_default() += 1;
+        if *lines >= max_lines {
+            *self.dropped.entry(class).or_default() += 1;
             return false;
         }
         *lines += 1;
@@ -115,8 +117,8 @@
 fn write_lines(rx: &Receiver<Vec<u8>>, mut out: impl Write) {
     while let Ok(line) = rx.recv() {
         let mut lines = line;
-        // Lines that came meanwhile go out with the same write.
-        lines.extend(rx.try_iter().take(QUEUE).flatten());
+        // Batches the lines that were queued meanwhile into the same write.
+        lines.extend(rx.try_iter().take(QUEUE_LINES).flatten());
         if let Err(e) = out.write_all(&lines).and_then(|()| out.flush()) {
             log::error!("the log cannot be written: {e}");
             return;
--- a/src/gateway/telemetry/metrics.rs
+++ b/src/gateway/telemetry/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of the gateway.
+//! Prometheus metrics of the gateway.
 
 use std::sync::atomic::AtomicU64;
 
@@ -15,30 +15,30 @@
 
 use crate::{gateway::model::Followed, telemetry::Labels};
 
-/// First bucket of latency histograms, in seconds.
-const FIRST_BUCKET: f64 = 0.004;
-/// Buckets of latency histograms, each twice as wide as the one before.
-const BUCKETS: u16 = 14;
+/// Upper bound of the first bucket of latency histograms, in seconds.
+const FIRST_BUCKET_S: f64 = 0.004;
+/// Number of buckets of latency histograms; each upper bound is twice the previous one.
+const BUCKET_COUNT: u16 = 14;
 
-/// Labels of answered requests. Routes are not among them: there may be
-/// hundreds; the rank of a route stands for its class.
+/// Labels of answered requests. There is no label for the route, since there may be hundreds
+/// of routes; `class` groups them by kind and priority.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct RequestLabels {
-    /// Kind of the route, with its rank.
+    /// Kind and priority of the route.
     pub class: String,
-    /// How requests ended.
+    /// Outcome of the requests.
     pub outcome: String,
 }
 
-/// Label of what knowledge is of.
+/// Label that names the kind of watched store data.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct KnowledgeLabels {
-    /// See [`Followed`].
+    /// Name of the kind, see [`Followed::name`].
     pub of: String,
 }
 
 impl KnowledgeLabels {
-    /// Returns the label of what is followed.
+    /// Creates the label of a kind of watched store data.
     pub fn new(followed: Followed) -> Self {
         Self { of: followed.name().to_owned() }
     }
@@ -48,45 +48,45 @@
 #[derive(Debug)]
 pub struct GatewayMetrics {
     registry: Registry,
-    /// Requests by class and outcome.
+    /// Number of requests by class and outcome.
     pub requests: Family<RequestLabels, Counter>,
     /// Time to the first byte by class, in seconds.
     pub first_byte: Family<Labels, Histogram>,
-    /// Failed attempts by cause.
+    /// Number of failed attempts by cause.
     pub failed_attempts: Family<Labels, Counter>,
-    /// Calls to the platform by kind and outcome.
+    /// Number of calls to the platform by kind and outcome.
     pub platform_calls: Family<Labels, Counter>,
-    /// Rows of the store that name no upstream, by cause.
+    /// Number of upstream rows that could not be decoded, by cause.
     pub rejected_entries: Family<Labels, Counter>,
-    /// Orders of engines by outcome.
+    /// Number of engine orders by outcome.
     pub orders: Family<Labels, Counter>,
-    /// Changes of roll-outs by cause.
+    /// Number of state changes of roll-outs by cause.
     pub rollouts: Family<Labels, Counter>,
     /// Version of the configuration in force.
     pub configuration: Gauge,
-    /// Age of what is known of the store, by what it is knowledge of, in seconds.
+    /// Age of the local copy of store data, by kind of data, in seconds.
     pub knowledge_age: Family<KnowledgeLabels, Gauge<f64, AtomicU64>>,
-    /// Upstreams that take work.
+    /// Number of upstreams that accept new requests.
     pub upstreams: Gauge,
-    /// Upstreams whose rows are missing and that may serve on.
+    /// Number of upstreams whose row is missing but which may still serve.
     pub missing_rows: Gauge,
-    /// Gateways that are heard.
+    /// Number of gateways that this process receives heartbeats from.
     pub peers: Gauge,
-    /// Fencing number of the lease that this process holds; 0 for none.
+    /// Fencing token of the lease that this process holds; 0 if it holds none.
     pub lease: Gauge,
-    /// Requests in progress.
+    /// Number of requests in progress.
     pub in_progress: Gauge,
-    /// Open connections to upstreams.
+    /// Number of open connections to upstreams.
     pub connections: Gauge,
-    /// Ends of upstreams that took requests of this process with them.
+    /// Number of times that an upstream ended while it ran requests of this process.
     pub upstream_ends: Counter,
-    /// Upstreams that said that they leave, or of which another gateway told it.
+    /// Number of upstreams that announced that they are leaving, to this or another gateway.
     pub said_leaving: Counter,
-    /// Upstreams that have asked for rest.
+    /// Number of upstreams that have requested a back-off.
     pub resting: Gauge,
-    /// Upstreams that name a rate limit.
+    /// Number of upstreams that state a rate limit.
     pub rate_limited: Gauge,
-    /// Requests that are quarantined, since upstreams end under them.
+    /// Number of requests in quarantine because upstreams ended while running them.
     pub quarantined: Gauge,
 }
 
@@ -97,10 +97,10 @@
 }
 
 impl GatewayMetrics {
-    /// Creates the metrics, all zero.
+    /// Creates and registers the metrics, all zero.
     pub fn new() -> Self {
         let histogram: fn() -> Histogram =
-            || Histogram::new(exponential_buckets(FIRST_BUCKET, 2.0, BUCKETS));
+            || Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKET_COUNT));
         let mut metrics = Self {
             registry: Registry::with_prefix("tackhollow_gateway"),
             requests: Family::default(),
@@ -156,7 +156,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if a metric cannot be written.
+    /// Fails if a metric cannot be encoded.
     pub fn text(&self) -> Result<String, std::fmt::Error> {
         let mut text = String::new();
         encode(&mut text, &self.registry)?;
--- a/src/gateway/telemetry/mod.rs
+++ b/src/gateway/telemetry/mod.rs
@@ -1,4 +1,4 @@
-//! Structured log lines and metrics of the gateway.
+//! Structured log events and metrics of the gateway.
 
 mod event;
 mod journal;
