--- a/src/gateway/model/mod.rs
+++ b/src/gateway/model/mod.rs
@@ -2,15 +2,15 @@
 
 mod configuration;
 mod digest;
-mod followed;
 mod upstream;
+mod watched_data;
 
 pub use configuration::{
     CallerLimits, Configuration, Customer, EngineKind, Quota, RequestKind, Route, Scaling, Service,
 };
 pub use digest::{ParseDigestError, RequestDigest};
-pub use followed::Followed;
 pub use upstream::{Lifetime, Upstream, UpstreamPhase};
+pub use watched_data::Followed;
 
 /// Name of a service in the configuration.
 pub type ServiceName = String;
--- a/tests/platform_entries.rs
+++ b/tests/platform_entries.rs
@@ -70,7 +70,7 @@
         case("start time as a string", entry_with("born", json!("1")), Some("field")),
         case("start time null", entry_with("born", Value::Null), Some("field")),
         case("unknown state", entry_with("state", json!("resting")), Some("state")),
-        case("state in upper case", entry_with("state", json!("Ready")), Some("state")),
+        case("capitalised state", entry_with("state", json!("Ready")), Some("state")),
         case("leave time out of range", entry_with("leaves_ms", json!(1e300)), Some("time")),
     ];
     for case in cases {
@@ -141,7 +141,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// No decoder panics on arbitrary bytes.
+    /// No decoder panics on arbitrary bytes, and none takes them for an upstream or a
+    /// configuration.
     #[test]
     fn decoders_do_not_panic_on_arbitrary_bytes(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         prop_assert!(decode_upstream("i-1".to_owned(), &bytes).is_err());
