--- a/src/bin/tackhollow-emulator/admin.rs
+++ b/src/bin/tackhollow-emulator/admin.rs
@@ -1,4 +1,4 @@
-//! Control of the emulator by tests and the demo.
+//! HTTP control interface of the emulator for tests and the demo.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -14,14 +14,14 @@
 
 use crate::{
     answer::{empty, json as answer, read_json},
+    platform::{Behaviour, Platform, StoreMode, Upstream, upstream_row},
     process, rollout,
-    world::{Behaviour, Engine, StoreMode, World, upstream_row},
 };
 
-/// The control door.
+/// Service that answers control calls.
 pub struct Admin {
-    /// The platform.
-    pub world: Rc<World>,
+    /// The emulated platform.
+    pub platform: Rc<Platform>,
 }
 
 impl Service for Admin {
@@ -30,19 +30,19 @@
         let body = read_json(request.into_body()).await;
         let done = match path.as_str() {
             "/configuration" => self.configure(&body),
-            "/engine" => return self.start_engine(&body).await,
-            "/behaviour" => self.behave(&body),
-            "/signals" => self.signal(&body),
+            "/engine" => return self.start_upstream(&body).await,
+            "/behaviour" => self.set_behaviour(&body),
+            "/signals" => self.set_signals(&body),
             "/state" => self.set_state(&body),
             "/remove" => self.remove(&body),
             "/restart" => self.restart(&body),
-            "/entry" => self.write_entry(&body),
+            "/entry" => self.write_raw_row(&body),
             "/crash" => self.crash(&body),
-            "/down" => self.set_down(&body),
+            "/down" => self.set_down_time(&body),
             "/store" => self.set_store(&body),
-            "/forget" => self.forget(),
+            "/forget" => self.discard_history(),
             "/rollout" => self.roll_out(&body),
-            "/seen" => return self.seen(),
+            "/seen" => return self.recorded(),
             _ => None,
         };
         empty(if done.is_some() { StatusCode::OK } else { StatusCode::BAD_REQUEST })
@@ -50,16 +50,16 @@
 }
 
 impl Admin {
-    /// Writes the configuration as the operator would.
+    /// Writes the configuration in place of the operator.
     fn configure(&self, body: &Value) -> Option<()> {
-        self.world.put("op", "config", Some(STANDARD.encode(body.to_string())));
+        self.platform.put("op", "config", Some(STANDARD.encode(body.to_string())));
         Some(())
     }
 
-    /// Starts an upstream: `service`, `version`, `workMs`, `zone`, `spot`, and the `address` that its
-    /// row names if callers reach it by another one.
-    async fn start_engine(&self, body: &Value) -> Response<AnswerBody> {
-        let id = format!("i-{}", self.world.state.borrow().engines.len() + 1);
+    /// Starts an upstream. Fields: `service`, `version`, `workMs`, `zone`, `spot` and, if callers
+    /// reach it at another address than its own, the `address` to write into its row.
+    async fn start_upstream(&self, body: &Value) -> Response<AnswerBody> {
+        let id = format!("i-{}", self.platform.state.borrow().upstreams.len() + 1);
         let Ok(listener) = process::open((process::own_ip(), 0).into()).await else {
             return empty(StatusCode::INTERNAL_SERVER_ERROR);
         };
@@ -68,10 +68,10 @@
         };
         let text = |name: &str| body[name].as_str().unwrap_or_default();
         let spot = body["spot"].as_bool().unwrap_or_default();
-        let named = text("address").parse().unwrap_or(address);
+        let row_address = text("address").parse().unwrap_or(address);
         let version = body["version"].as_str().unwrap_or("v1");
-        let row = upstream_row(text("service"), version, text("zone"), spot, named);
-        let engine = Engine {
+        let row = upstream_row(text("service"), version, text("zone"), spot, row_address);
+        let upstream = Upstream {
             behaviour: Behaviour::Serve,
             work: Duration::from_millis(body["workMs"].as_u64().unwrap_or_default()),
             only_path: String::new(),
@@ -81,141 +81,144 @@
             cache: HashSet::new(),
             starts: 1,
             address,
-            process: Some(process::start(&self.world, &id, listener)),
+            process: Some(process::start(&self.platform, &id, listener)),
         };
-        self.world.state.borrow_mut().engines.insert(id.clone(), engine);
-        self.world.put("servers", &id, Some(STANDARD.encode(row.to_string())));
+        self.platform.state.borrow_mut().upstreams.insert(id.clone(), upstream);
+        self.platform.put("servers", &id, Some(STANDARD.encode(row.to_string())));
         answer(StatusCode::OK, &json!({ "id": id, "address": address }))
     }
 
-    /// Sets how an upstream, or all of them, answers: `id`, `behaviour`, and `path`, what the
-    /// paths begin with of the requests that are meant.
-    fn behave(&self, body: &Value) -> Option<()> {
+    /// Sets the behaviour of one upstream, or of all if there is no `id`. Fields: `id`,
+    /// `behaviour` and `path`, the prefix of the request paths to which it applies.
+    fn set_behaviour(&self, body: &Value) -> Option<()> {
         let behaviour: Behaviour = serde_json::from_value(body["behaviour"].clone()).ok()?;
         let path = body["path"].as_str().unwrap_or_default();
-        let set = |engine: &mut Engine| {
-            engine.behaviour = behaviour;
-            engine.only_path = path.to_owned();
+        let set = |upstream: &mut Upstream| {
+            upstream.behaviour = behaviour;
+            upstream.only_path = path.to_owned();
         };
-        let mut state = self.world.state.borrow_mut();
+        let mut state = self.platform.state.borrow_mut();
         match body["id"].as_str() {
-            Some(id) => set(state.engines.get_mut(id)?),
-            None => state.engines.values_mut().for_each(set),
+            Some(id) => set(state.upstreams.get_mut(id)?),
+            None => state.upstreams.values_mut().for_each(set),
         }
         Some(())
     }
 
-    /// Sets the headers that an upstream adds to all its answers: `id`, `headers` by name.
-    fn signal(&self, body: &Value) -> Option<()> {
+    /// Sets the headers that an upstream adds to all its responses. Fields: `id` and
+    /// `headers`, values by name.
+    fn set_signals(&self, body: &Value) -> Option<()> {
         let headers: HashMap<String, String> =
             serde_json::from_value(body["headers"].clone()).ok()?;
         let signals = HeaderMap::try_from(&headers).ok()?;
-        self.world.state.borrow_mut().engines.get_mut(body["id"].as_str()?)?.signals = signals;
+        self.platform.state.borrow_mut().upstreams.get_mut(body["id"].as_str()?)?.signals = signals;
         Some(())
     }
 
-    /// Writes an order to roll out a version as the operator would, or withdraws it:
-    /// `service`, `order`. The upstreams follow what is written of it.
+    /// Writes a roll-out order in place of the operator, or removes it if `order` is null.
+    /// Fields: `service`, `order`. The upstreams then react to the status of the roll-out.
     fn roll_out(&self, body: &Value) -> Option<()> {
         let key = format!("rollout/{}", body["service"].as_str()?);
         let order = &body["order"];
         let value = (!order.is_null()).then(|| STANDARD.encode(order.to_string()));
-        self.world.put("op", &key, value);
+        self.platform.put("op", &key, value);
         if order.is_object() {
-            spawn_local(rollout::follow(self.world.clone(), order.clone()));
+            spawn_local(rollout::follow_order(self.platform.clone(), order.clone()));
         }
         Some(())
     }
 
-    /// Sets an upstream's own state: `id`, `state`.
+    /// Sets the state in the row of an upstream. Fields: `id`, `state`.
     fn set_state(&self, body: &Value) -> Option<()> {
         let id = body["id"].as_str()?;
         let row = {
-            let mut state = self.world.state.borrow_mut();
-            let engine = state.engines.get_mut(id)?;
-            engine.row["state"] = body["state"].clone();
-            engine.row.to_string()
+            let mut state = self.platform.state.borrow_mut();
+            let upstream = state.upstreams.get_mut(id)?;
+            upstream.row["state"] = body["state"].clone();
+            upstream.row.to_string()
         };
-        self.world.put("servers", id, Some(STANDARD.encode(row)));
+        self.platform.put("servers", id, Some(STANDARD.encode(row)));
         Some(())
     }
 
-    /// Removes an upstream's row; with `back` true it is written again.
+    /// Removes the row of an upstream, or writes it again if `back` is true. Fields: `id`,
+    /// `back`.
     fn remove(&self, body: &Value) -> Option<()> {
         let id = body["id"].as_str()?;
-        let row = self.world.state.borrow().engines.get(id)?.row.to_string();
+        let row = self.platform.state.borrow().upstreams.get(id)?.row.to_string();
         let back = body["back"].as_bool().unwrap_or_default();
-        self.world.put("servers", id, back.then(|| STANDARD.encode(row)));
+        self.platform.put("servers", id, back.then(|| STANDARD.encode(row)));
         Some(())
     }
 
-    /// Starts an upstream again under its id. What it held and the requests that it
-    /// ran are lost; connections to it stay open in silence, as behind a cut.
-    /// `born` is when it started by its clock.
+    /// Restarts an upstream under the same id. Its cache and running requests are lost.
+    /// Connections to it stay open without sending anything, as after a network partition.
+    /// Fields: `id` and `born`, the start time by the upstream's clock.
     fn restart(&self, body: &Value) -> Option<()> {
         let id = body["id"].as_str()?;
         let row = {
-            let mut state = self.world.state.borrow_mut();
-            let engine = state.engines.get_mut(id)?;
-            engine.row["born"] = body["born"].clone();
-            engine.row["sequence"] = json!(0);
-            engine.behaviour = Behaviour::Serve;
-            engine.reading_until = Instant::now();
-            engine.cache.clear();
-            engine.starts += 1;
-            engine.row.to_string()
+            let mut state = self.platform.state.borrow_mut();
+            let upstream = state.upstreams.get_mut(id)?;
+            upstream.row["born"] = body["born"].clone();
+            upstream.row["sequence"] = json!(0);
+            upstream.behaviour = Behaviour::Serve;
+            upstream.reading_until = Instant::now();
+            upstream.cache.clear();
+            upstream.starts += 1;
+            upstream.row.to_string()
         };
-        self.world.put("servers", id, Some(STANDARD.encode(row)));
+        self.platform.put("servers", id, Some(STANDARD.encode(row)));
         Some(())
     }
 
-    /// Crashes an upstream; it starts again by itself: `id`.
+    /// Crashes an upstream, which restarts by itself. Field: `id`.
     fn crash(&self, body: &Value) -> Option<()> {
         let id = body["id"].as_str()?;
-        self.world.crashing.send(id.to_owned()).ok()
+        self.platform.crashing.send(id.to_owned()).ok()
     }
 
-    /// Sets for how long upstreams that crash are down: `ms`.
-    fn set_down(&self, body: &Value) -> Option<()> {
-        self.world.state.borrow_mut().down = Duration::from_millis(body["ms"].as_u64()?);
+    /// Sets how long an upstream stays down after a crash. Field: `ms`.
+    fn set_down_time(&self, body: &Value) -> Option<()> {
+        self.platform.state.borrow_mut().down_time = Duration::from_millis(body["ms"].as_u64()?);
         Some(())
     }
 
-    /// Writes a row as another writer would: `id`, `text`.
-    fn write_entry(&self, body: &Value) -> Option<()> {
+    /// Writes any text as the row of an upstream, in place of another writer. Fields: `id`,
+    /// `text`.
+    fn write_raw_row(&self, body: &Value) -> Option<()> {
         let (id, text) = (body["id"].as_str()?, body["text"].as_str()?);
-        self.world.put("servers", id, Some(STANDARD.encode(text)));
+        self.platform.put("servers", id, Some(STANDARD.encode(text)));
         Some(())
     }
 
     fn set_store(&self, body: &Value) -> Option<()> {
         let mode: StoreMode = serde_json::from_value(body["mode"].clone()).ok()?;
-        let mut state = self.world.state.borrow_mut();
+        let mut state = self.platform.state.borrow_mut();
         state.store_mode = mode;
         state.silences += u64::from(mode == StoreMode::Silent);
         Some(())
     }
 
-    /// Forgets the store's history.
-    fn forget(&self) -> Option<()> {
-        let mut state = self.world.state.borrow_mut();
-        state.forgotten = state.version;
+    /// Discards the change history of the store, so that feeds from earlier versions fail.
+    fn discard_history(&self) -> Option<()> {
+        let mut state = self.platform.state.borrow_mut();
+        state.discarded_up_to = state.version;
         state.history.clear();
         drop(state);
-        self.world.changed.notify_waiters();
+        self.platform.changed.notify_waiters();
         Some(())
     }
 
-    /// Returns what upstreams and the API have seen.
-    fn seen(&self) -> Response<AnswerBody> {
-        let state = self.world.state.borrow();
+    /// Returns the recorded requests to upstreams, API calls and roll-out status.
+    fn recorded(&self) -> Response<AnswerBody> {
+        let state = self.platform.state.borrow();
         let body = json!({
             "arrivals": state.arrivals,
             "runs": state.runs,
-            "duties": state.duties,
+            "duties": state.api_calls,
             "store_calls": state.store_calls,
             "status": rollout::statuses(&state),
-            "now_ms": self.world.now_ms(),
+            "now_ms": self.platform.now_ms(),
         });
         answer(StatusCode::OK, &body)
     }
--- a/src/bin/tackhollow-emulator/answer.rs
+++ b/src/bin/tackhollow-emulator/answer.rs
@@ -1,4 +1,4 @@
-//! Answers of the emulator, and reading of requests.
+//! Helpers that build responses and read requests.
 
 use std::collections::HashMap;
 
@@ -8,27 +8,27 @@
 use serde_json::Value;
 use tackhollow::gateway::net::{AnswerBody, full_body};
 
-/// Returns an answer with a JSON body.
+/// Returns a response with a JSON body.
 pub fn json(status: StatusCode, body: &Value) -> Response<AnswerBody> {
     let mut response = Response::new(full_body(body.to_string()));
     *response.status_mut() = status;
     response
 }
 
-/// Returns an answer without a body.
+/// Returns a response with an empty body.
 pub fn empty(status: StatusCode) -> Response<AnswerBody> {
     let mut response = Response::new(full_body(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-/// Reads a body as JSON; `null` if it is none.
+/// Reads a body as JSON; returns `null` if it cannot be read or is not valid JSON.
 pub async fn read_json(body: Incoming) -> Value {
     let bytes = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
     serde_json::from_slice(&bytes).unwrap_or_default()
 }
 
-/// Returns the query's parameters.
+/// Returns the query parameters by name, without percent-decoding.
 pub fn query(uri: &Uri) -> HashMap<String, String> {
     let pairs = uri.query().unwrap_or_default().split('&').filter_map(|p| p.split_once('='));
     pairs.map(|(name, value)| (name.to_owned(), value.to_owned())).collect()
--- a/src/bin/tackhollow-emulator/api.rs
+++ b/src/bin/tackhollow-emulator/api.rs
@@ -1,4 +1,4 @@
-//! The API for the holder of the lease: takes note of every call.
+//! API of the platform for the lease holder. It records every call.
 
 use std::rc::Rc;
 
@@ -8,13 +8,13 @@
 
 use crate::{
     answer::{empty, read_json},
-    world::World,
+    platform::Platform,
 };
 
-/// The API's door.
+/// Service that answers and records API calls.
 pub struct Api {
-    /// The platform.
-    pub world: Rc<World>,
+    /// The emulated platform.
+    pub platform: Rc<Platform>,
 }
 
 impl Service for Api {
@@ -28,7 +28,7 @@
         let body = read_json(request.into_body()).await;
         let fence: u64 = fence.parse().unwrap_or_default();
         let call = json!({ "path": path, "holder": holder, "fence": fence, "body": body });
-        self.world.state.borrow_mut().duties.push(call);
+        self.platform.state.borrow_mut().api_calls.push(call);
         empty(StatusCode::OK)
     }
 }
--- a/src/bin/tackhollow-emulator/main.rs
+++ b/src/bin/tackhollow-emulator/main.rs
@@ -1,16 +1,16 @@
 //! Emulator of the users' platform: store, API and upstreams on loopback.
 //!
-//! It speaks the published protocol and no more. Tests and the demo control it
-//! over HTTP and read what its upstreams ran.
+//! It implements exactly the published protocol. Tests and the demo control it over
+//! HTTP and read which requests its upstreams ran.
 
 mod admin;
 mod answer;
 mod api;
-mod engine;
+mod platform;
 mod process;
 mod rollout;
 mod store;
-mod world;
+mod upstream;
 
 use std::{net::SocketAddr, process::ExitCode, rc::Rc};
 
@@ -23,7 +23,7 @@
     task::{LocalSet, spawn_local},
 };
 
-use crate::world::World;
+use crate::platform::Platform;
 
 fn main() -> ExitCode {
     match run() {
@@ -39,18 +39,18 @@
     let runtime = Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
         let (crashing, crashes) = unbounded_channel();
-        let world = World::new(crashing);
-        spawn_local(process::crash_and_restart(world.clone(), crashes));
-        let store = listen(Rc::new(store::Store { world: world.clone() })).await?;
-        let api = listen(Rc::new(api::Api { world: world.clone() })).await?;
-        let http = listen(Rc::new(admin::Admin { world })).await?;
+        let platform = Platform::new(crashing);
+        spawn_local(process::crash_and_restart(platform.clone(), crashes));
+        let store = listen(Rc::new(store::Store { platform: platform.clone() })).await?;
+        let api = listen(Rc::new(api::Api { platform: platform.clone() })).await?;
+        let http = listen(Rc::new(admin::Admin { platform })).await?;
         println!("{}", serde_json::json!({ "http": http, "store": store, "api": api }));
         std::future::pending::<()>().await;
         Ok(())
     })
 }
 
-/// Serves on a free port of loopback and returns the address.
+/// Starts a service on a free loopback port and returns its address.
 async fn listen<S: Service + 'static>(service: Rc<S>) -> Result<SocketAddr> {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
     let address = listener.local_addr()?;
--- a/src/bin/tackhollow-emulator/world.rs
+++ b/src/bin/tackhollow-emulator/platform.rs
@@ -16,41 +16,41 @@
     task::AbortHandle,
 };
 
-/// How the store answers.
+/// Behaviour of the store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StoreMode {
-    /// As it should.
+    /// Answers normally.
     #[default]
     Up,
-    /// Refuses every call.
+    /// Refuses every call without executing it.
     Refusing,
-    /// Does what is asked and does not answer.
+    /// Executes calls but never answers them.
     Losing,
-    /// Does nothing and answers nobody, nor calls that are on their way.
+    /// Neither executes nor answers calls, and does not answer those in flight.
     Silent,
 }
 
-/// How an upstream answers.
+/// Behaviour of an upstream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Behaviour {
-    /// As it should.
+    /// Answers normally.
     #[default]
     Serve,
     /// Refuses without running the request.
     Full,
-    /// Runs the request and fails.
+    /// Runs every request and answers with an error.
     Fail,
-    /// Runs the request and fails every second one.
+    /// Runs every request and answers every second one with an error.
     FailSome,
-    /// Takes several times as long.
+    /// Takes several times as long for each request.
     Slow,
-    /// Runs the request and breaks off before its answer's body.
+    /// Runs the request and breaks the connection off before the response body.
     Lose,
-    /// Breaks off in the middle of an event.
+    /// Breaks a stream off in the middle of an event, half-way through.
     BreakMidway,
-    /// Answers with another request's id.
+    /// Answers with the id of another request.
     Crossed,
     /// Runs the request and never answers.
     Silent,
@@ -61,22 +61,22 @@
 pub struct Row {
     /// Value in base64.
     pub value: String,
-    /// Version.
+    /// Version of the store at the last write of the row.
     pub version: u64,
 }
 
-/// A change in the store's history; `None` for a removal.
+/// A change in the history of the store.
 #[derive(Clone, Debug)]
-pub struct Written {
-    /// Version.
+pub struct Change {
+    /// Version of the store after the change.
     pub version: u64,
     /// Table and key.
     pub at: (String, String),
-    /// Value in base64.
+    /// Value in base64; `None` if the row was removed.
     pub value: Option<String>,
 }
 
-/// A request that an upstream ran.
+/// Record of a request that an upstream ran.
 #[derive(Clone, Debug, Serialize)]
 pub struct Run {
     /// Identifier of the request.
@@ -85,117 +85,117 @@
     pub upstream: String,
     /// Method and path.
     pub target: String,
-    /// Customer that it was told.
+    /// Customer named in the request headers.
     pub customer: String,
-    /// Whether it was sent the caller's key.
+    /// Whether the request carried the caller's key.
     pub key_passed: bool,
-    /// Milliseconds that it was given.
+    /// Time limit given with the request, in milliseconds; 0 if there was none.
     pub deadline_ms: u64,
-    /// Last event that the caller has.
+    /// Id of the last event that the caller has received; 0 if there is none.
     pub resume_after: u64,
-    /// Bytes of the body.
+    /// Size of the body in bytes.
     pub body: usize,
-    /// When it began, by the store's clock, in milliseconds.
+    /// Start time by the store's clock, in milliseconds.
     pub began_ms: u64,
-    /// Version of the upstream.
+    /// Software version of the upstream.
     pub version: String,
-    /// When it ended; 0 until then.
+    /// End time by the store's clock, in milliseconds; 0 while the request runs.
     pub ended_ms: u64,
-    /// How it ended; `running` until then.
+    /// Outcome; `running` while the request runs.
     pub end: &'static str,
 }
 
 impl Run {
-    fn end(&mut self, end: &'static str, now_ms: u64) {
+    fn finish(&mut self, end: &'static str, now_ms: u64) {
         self.end = end;
         self.ended_ms = now_ms;
     }
 }
 
-/// A request that reached an upstream, whether it ran or not.
+/// Record of a request that reached an upstream, whether it was run or not.
 #[derive(Clone, Debug, Serialize)]
 pub struct Arrival {
     /// Identifier of the request.
     pub request: String,
     /// The upstream.
     pub upstream: String,
-    /// When, by the store's clock, in milliseconds.
+    /// Arrival time by the store's clock, in milliseconds.
     pub at_ms: u64,
-    /// Status with which the upstream answered; 0 until then, and if the answer was lost.
+    /// HTTP status of the response; 0 before the response and if it was lost.
     pub status: u16,
 }
 
-/// An upstream.
+/// An emulated upstream.
 #[derive(Debug)]
-pub struct Engine {
-    /// How it answers.
+pub struct Upstream {
+    /// Behaviour for the requests selected by `only_path`.
     pub behaviour: Behaviour,
-    /// What a request takes beside the reading of its prompt.
+    /// Time that a request takes in addition to the processing of its prompt.
     pub work: Duration,
-    /// What the paths of requests begin with that it answers so; the others it serves.
+    /// Prefix of the request paths to which `behaviour` applies; others are served normally.
     pub only_path: String,
-    /// Headers that it adds to all its answers.
+    /// Headers added to every response.
     pub signals: HeaderMap,
-    /// Its row, without the sequence.
+    /// Row by which it describes itself, without the current sequence number.
     pub row: serde_json::Value,
-    /// Until when it reads prompts that were sent earlier.
+    /// Time at which all prompts received so far are processed.
     pub reading_until: Instant,
-    /// Prompt parts that it holds.
+    /// Ids of the prompt parts in its cache.
     pub cache: HashSet<String>,
-    /// How often it has started. What an earlier start ran is lost in silence.
+    /// Number of starts. Requests that began under an earlier start never get a response.
     pub starts: u32,
-    /// Its own address; its row may name another.
+    /// Address on which it listens; its row may name another.
     pub address: SocketAddr,
-    /// Its process; `None` while it is down.
+    /// Handle that aborts its process; `None` while it is down.
     pub process: Option<AbortHandle>,
 }
 
-/// For how long an upstream that has crashed is down, unless told otherwise.
-const DOWN: Duration = Duration::from_millis(500);
+/// Default time for which an upstream stays down after a crash.
+const DEFAULT_DOWN_TIME: Duration = Duration::from_millis(500);
 
 /// State of the emulated platform.
 #[derive(Debug)]
 pub struct State {
-    /// How the store answers.
+    /// Behaviour of the store.
     pub store_mode: StoreMode,
-    /// How often the store has fallen silent. Calls from before are never answered.
+    /// Number of times the store was made silent. Calls in flight at that time are never
+    /// answered.
     pub silences: u64,
-    /// Version of the store.
+    /// Version of the store, incremented by every write and removal.
     pub version: u64,
     /// Rows by table and key.
     pub rows: BTreeMap<(String, String), Row>,
-    /// History for feeds.
-    pub history: Vec<Written>,
-    /// Versions up to which the history is forgotten.
-    pub forgotten: u64,
+    /// Changes for feeds, oldest first.
+    pub history: Vec<Change>,
+    /// Last version whose changes are no longer in the history.
+    pub discarded_up_to: u64,
     /// Upstreams by id.
-    pub engines: BTreeMap<String, Engine>,
-    /// For how long an upstream that has crashed is down.
-    pub down: Duration,
+    pub upstreams: BTreeMap<String, Upstream>,
+    /// Time for which an upstream stays down after a crash.
+    pub down_time: Duration,
     /// Requests that reached upstreams.
     pub arrivals: Vec<Arrival>,
     /// Requests that upstreams ran.
     pub runs: Vec<Run>,
-    /// Calls to the API: path, holder, fencing number, body.
-    pub duties: Vec<serde_json::Value>,
-    /// Calls to the store.
+    /// Calls to the API, each with path, lease holder, fencing token and body.
+    pub api_calls: Vec<serde_json::Value>,
+    /// Number of calls to the store.
     pub store_calls: u64,
 }
 
 /// The emulated platform.
 #[derive(Debug)]
-pub struct World {
-    /// Its state.
+pub struct Platform {
     pub state: RefCell<State>,
-    /// Tells of changes in the store.
+    /// Notified of every change in the store.
     pub changed: Notify,
-    /// Takes the ids of upstreams that are about to crash.
+    /// Receives the ids of upstreams that are to crash.
     pub crashing: UnboundedSender<String>,
     started: Instant,
 }
 
-impl World {
-    /// Creates an empty platform.
+impl Platform {
+    /// Creates a platform with an empty store and no upstreams.
     pub fn new(crashing: UnboundedSender<String>) -> Rc<Self> {
         let state = State {
             store_mode: StoreMode::default(),
@@ -203,31 +203,31 @@
             version: 0,
             rows: BTreeMap::new(),
             history: Vec::new(),
-            forgotten: 0,
-            engines: BTreeMap::new(),
-            down: DOWN,
+            discarded_up_to: 0,
+            upstreams: BTreeMap::new(),
+            down_time: DEFAULT_DOWN_TIME,
             arrivals: Vec::new(),
             runs: Vec::new(),
-            duties: Vec::new(),
+            api_calls: Vec::new(),
             store_calls: 0,
         };
         let (state, changed, started) = (RefCell::new(state), Notify::new(), Instant::now());
         Rc::new(Self { state, changed, crashing, started })
     }
 
-    /// Returns the store's steady clock in milliseconds.
+    /// Returns the store's monotonic clock in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.started.elapsed().as_millis() as u64
     }
 
-    /// Returns the version of an upstream's software.
+    /// Returns the software version of an upstream, empty if the upstream is unknown.
     pub fn version(&self, upstream: &str) -> String {
         let state = self.state.borrow();
-        let row = state.engines.get(upstream).map(|e| &e.row["version"]);
+        let row = state.upstreams.get(upstream).map(|e| &e.row["version"]);
         row.and_then(|v| v.as_str()).unwrap_or_default().to_owned()
     }
 
-    /// Writes or removes a row.
+    /// Writes a row, or removes it if `value` is `None`, and notifies feeds.
     pub fn put(&self, table: &str, key: &str, value: Option<String>) {
         let mut state = self.state.borrow_mut();
         state.version += 1;
@@ -238,31 +238,31 @@
             }
             None => drop(state.rows.remove(&at)),
         }
-        state.history.push(Written { version, at, value });
+        state.history.push(Change { version, at, value });
         drop(state);
         self.changed.notify_waiters();
     }
 
-    /// Returns how often an upstream has started.
+    /// Returns the number of starts of an upstream, 0 if the upstream is unknown.
     pub fn starts(&self, upstream: &str) -> u32 {
-        self.state.borrow().engines.get(upstream).map_or(0, |e| e.starts)
+        self.state.borrow().upstreams.get(upstream).map_or(0, |e| e.starts)
     }
 
-    /// Ends the process of an upstream, with its connections and all that it runs;
-    /// returns its address if it ran.
-    pub fn end_process(&self, upstream: &str) -> Option<SocketAddr> {
+    /// Stops the process of an upstream with its connections and running requests. Returns
+    /// its listen address, or `None` if it was not running.
+    pub fn end_process(&self, id: &str) -> Option<SocketAddr> {
         let now_ms = self.now_ms();
         let mut state = self.state.borrow_mut();
-        let engine = state.engines.get_mut(upstream)?;
-        let address = engine.address;
-        engine.process.take()?.abort();
-        let of_upstream = |r: &&mut Run| r.upstream == upstream && r.end == "running";
-        state.runs.iter_mut().filter(of_upstream).for_each(|r| r.end("crashed", now_ms));
+        let upstream = state.upstreams.get_mut(id)?;
+        let address = upstream.address;
+        upstream.process.take()?.abort();
+        let of_upstream = |r: &&mut Run| r.upstream == id && r.end == "running";
+        state.runs.iter_mut().filter(of_upstream).for_each(|r| r.finish("crashed", now_ms));
         Some(address)
     }
 
-    /// Notes that a request has reached an upstream; returns its place among the arrivals.
-    pub fn arrived(&self, upstream: &str, request: String) -> usize {
+    /// Records that a request has reached an upstream and returns the index of the record.
+    pub fn record_arrival(&self, upstream: &str, request: String) -> usize {
         let arrival =
             Arrival { request, upstream: upstream.to_owned(), at_ms: self.now_ms(), status: 0 };
         let mut state = self.state.borrow_mut();
@@ -270,29 +270,35 @@
         state.arrivals.len() - 1
     }
 
-    /// Adds what an upstream says of itself to the answer to an arrival.
-    pub fn answered(&self, arrival: usize, upstream: &str, response: &mut Response<AnswerBody>) {
+    /// Records the status of a response and adds the upstream's own headers to it.
+    pub fn record_response(
+        &self,
+        arrival: usize,
+        upstream: &str,
+        response: &mut Response<AnswerBody>,
+    ) {
         let mut state = self.state.borrow_mut();
         if let Some(arrival) = state.arrivals.get_mut(arrival) {
             arrival.status = response.status().as_u16();
         }
-        if let Some(engine) = state.engines.get(upstream) {
-            let signals = engine.signals.iter().map(|(name, value)| (name.clone(), value.clone()));
+        if let Some(upstream) = state.upstreams.get(upstream) {
+            let signals =
+                upstream.signals.iter().map(|(name, value)| (name.clone(), value.clone()));
             response.headers_mut().extend(signals);
         }
     }
 
-    /// Notes how a run ended.
+    /// Records the outcome of a request, unless it has already ended.
     pub fn end_run(&self, index: usize, end: &'static str) {
         let now_ms = self.now_ms();
         let mut state = self.state.borrow_mut();
         if let Some(run) = state.runs.get_mut(index).filter(|r| r.end == "running") {
-            run.end(end, now_ms);
+            run.finish(end, now_ms);
         }
     }
 }
 
-/// Returns a row by which an upstream describes itself.
+/// Returns the row by which an upstream describes itself.
 pub fn upstream_row(
     service: &str,
     version: &str,
--- a/src/bin/tackhollow-emulator/process.rs
+++ b/src/bin/tackhollow-emulator/process.rs
@@ -1,4 +1,5 @@
-//! Processes of upstreams: each can crash, with all its connections, and start again.
+//! Emulated processes of upstreams. Each can crash, which closes all its connections, and
+//! restart.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -20,68 +21,68 @@
     time::sleep,
 };
 
-use crate::{engine::EngineDoor, world::World};
+use crate::{platform::Platform, upstream::UpstreamService};
 
-/// Time from the begin of a run that crashes its upstream to the crash.
-const CRASH_AFTER: Duration = Duration::from_millis(30);
+/// Time from the request or control call that triggers a crash to the crash.
+const CRASH_DELAY: Duration = Duration::from_millis(30);
 
-/// Returns an IP number of this emulator's own, so that no other process takes an
-/// upstream's port while it is down.
+/// Returns a loopback address that only this emulator uses, so that no other process binds
+/// the port of an upstream while it is down.
 pub fn own_ip() -> Ipv4Addr {
     let [.., high, low] = std::process::id().to_be_bytes();
     Ipv4Addr::new(127, 200, high, low)
 }
 
-/// Starts the process of an upstream on a socket that is open. What it is asked runs
-/// in a set of tasks of its own, which ends with it.
-pub fn start(world: &Rc<World>, id: &str, listener: TcpListener) -> AbortHandle {
-    let door = Rc::new(EngineDoor { world: world.clone(), id: id.to_owned() });
+/// Starts the process of an upstream on an open socket. Its requests run in a task set of
+/// their own, which is dropped when the process is aborted.
+pub fn start(platform: &Rc<Platform>, id: &str, listener: TcpListener) -> AbortHandle {
+    let service = Rc::new(UpstreamService { platform: platform.clone(), id: id.to_owned() });
     let process = async move {
-        LocalSet::new().run_until(serve(listener, door, Shutdown::default())).await;
+        LocalSet::new().run_until(serve(listener, service, Shutdown::default())).await;
     };
     spawn_local(process).abort_handle()
 }
 
-/// Opens a socket for an upstream.
+/// Opens a listening socket for an upstream.
 pub async fn open(address: SocketAddr) -> Result<TcpListener> {
     Ok(TcpListener::bind(address).await?)
 }
 
-/// Crashes upstreams that began to run a request which does that, and starts each
-/// again under its id after a while.
-pub async fn crash_and_restart(world: Rc<World>, mut crashing: UnboundedReceiver<String>) {
+/// Crashes the upstreams whose ids arrive on `crashing`, and restarts each under the same
+/// id after the down time.
+pub async fn crash_and_restart(platform: Rc<Platform>, mut crashing: UnboundedReceiver<String>) {
     while let Some(id) = crashing.recv().await {
-        spawn_local(crash(world.clone(), id));
+        spawn_local(crash(platform.clone(), id));
     }
 }
 
-async fn crash(world: Rc<World>, id: String) {
-    sleep(CRASH_AFTER).await;
-    let Some(address) = world.end_process(&id) else {
+async fn crash(platform: Rc<Platform>, id: String) {
+    sleep(CRASH_DELAY).await;
+    let Some(address) = platform.end_process(&id) else {
         return;
     };
-    let down = world.state.borrow().down;
-    sleep(down).await;
+    let down_time = platform.state.borrow().down_time;
+    sleep(down_time).await;
     let listener = match open(address).await {
         Ok(listener) => listener,
         Err(e) => {
-            eprintln!("upstream {id} cannot start again: {e:#}");
+            eprintln!("upstream {id} cannot restart after a crash: {e:#}");
             return;
         }
     };
-    let process = start(&world, &id, listener);
+    let process = start(&platform, &id, listener);
     let row = {
-        let mut state = world.state.borrow_mut();
-        let Some(engine) = state.engines.get_mut(&id) else {
+        let mut state = platform.state.borrow_mut();
+        let Some(upstream) = state.upstreams.get_mut(&id) else {
             return;
         };
-        engine.process = Some(process);
-        engine.row["born"] = json!(unix_millis());
-        engine.row["sequence"] = json!(0);
-        engine.reading_until = Instant::now();
-        engine.cache.clear();
-        engine.starts += 1;
-        engine.row.to_string()
+        upstream.process = Some(process);
+        upstream.row["born"] = json!(unix_millis());
+        upstream.row["sequence"] = json!(0);
+        upstream.reading_until = Instant::now();
+        upstream.cache.clear();
+        upstream.starts += 1;
+        upstream.row.to_string()
     };
-    world.put("servers", &id, Some(STANDARD.encode(row)));
+    platform.put("servers", &id, Some(STANDARD.encode(row)));
 }
--- a/src/bin/tackhollow-emulator/store.rs
+++ b/src/bin/tackhollow-emulator/store.rs
@@ -1,4 +1,4 @@
-//! The store: rows, conditional writes and feeds.
+//! Store of the emulated platform: rows, conditional writes and change feeds.
 
 use std::{rc::Rc, time::Duration};
 
@@ -9,19 +9,19 @@
 
 use crate::{
     answer::{empty, json as answer, query, read_json},
-    world::{StoreMode, World},
+    platform::{Platform, StoreMode},
 };
 
-/// The store's door.
+/// Service that answers calls to the store.
 pub struct Store {
-    /// The platform.
-    pub world: Rc<World>,
+    /// The emulated platform.
+    pub platform: Rc<Platform>,
 }
 
 impl Service for Store {
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let (mode, silences) = {
-            let mut state = self.world.state.borrow_mut();
+            let mut state = self.platform.state.borrow_mut();
             state.store_calls += 1;
             (state.store_mode, state.silences)
         };
@@ -37,7 +37,7 @@
             "/rows-feed" => self.feed(&request).await,
             _ => empty(StatusCode::NOT_FOUND),
         };
-        if mode == StoreMode::Losing || self.world.state.borrow().silences > silences {
+        if mode == StoreMode::Losing || self.platform.state.borrow().silences > silences {
             std::future::pending::<()>().await;
         }
         response
@@ -50,20 +50,21 @@
 
 impl Store {
     fn with_version(&self, mut body: Value) -> Value {
-        body["rowVersion"] = self.world.state.borrow().version.into();
-        body["nowMs"] = self.world.now_ms().into();
+        body["rowVersion"] = self.platform.state.borrow().version.into();
+        body["nowMs"] = self.platform.now_ms().into();
         body
     }
 
     fn transaction(&self, txn: Value) -> Response<AnswerBody> {
         let list = |name: &str| txn[name].as_array().cloned().unwrap_or_default();
         let conflicts: Vec<Value> = {
-            let state = self.world.state.borrow();
+            let state = self.platform.state.borrow();
             let at = |e: &Value| (text(e, "table").to_owned(), text(e, "key").to_owned());
             let expected = list("expectedRevision");
             let version = |e: &Value| state.rows.get(&at(e)).map_or(0, |r| r.version);
-            let wrong = expected.iter().filter(|e| e["rowVersion"].as_u64() != Some(version(e)));
-            wrong
+            let mismatched =
+                expected.iter().filter(|e| e["rowVersion"].as_u64() != Some(version(e)));
+            mismatched
                 .filter_map(|e| {
                     let row = state.rows.get(&at(e))?;
                     Some(json!({ "key": e["key"], "value": row.value, "rowVersion": row.version }))
@@ -76,14 +77,14 @@
         }
         for write in list("writes") {
             let value = text(&write, "value").to_owned();
-            self.world.put(text(&write, "table"), text(&write, "key"), Some(value));
+            self.platform.put(text(&write, "table"), text(&write, "key"), Some(value));
         }
         answer(StatusCode::OK, &self.with_version(json!({})))
     }
 
     fn rows(&self, table: &str) -> Response<AnswerBody> {
         let rows: Vec<Value> = {
-            let state = self.world.state.borrow();
+            let state = self.platform.state.borrow();
             let of_table = state.rows.iter().filter(|((t, _), _)| t == table);
             of_table
                 .map(|((_, key), row)| {
@@ -100,8 +101,8 @@
         let (table, after) = (&query["table"], number("afterRevision"));
         let until = Instant::now() + Duration::from_millis(number("waitMs"));
         loop {
-            let changed = self.world.changed.notified();
-            if after < self.world.state.borrow().forgotten {
+            let changed = self.platform.changed.notified();
+            if after < self.platform.state.borrow().discarded_up_to {
                 return empty(StatusCode::GONE);
             }
             let rows = self.changes(table, after);
@@ -113,7 +114,7 @@
     }
 
     fn changes(&self, table: &str, after: u64) -> Vec<Value> {
-        let state = self.world.state.borrow();
+        let state = self.platform.state.borrow();
         let later = state.history.iter().filter(|w| w.version > after && w.at.0 == table);
         later
             .map(|w| match &w.value {
--- a/src/bin/tackhollow-emulator/engine.rs
+++ b/src/bin/tackhollow-emulator/upstream.rs
@@ -1,4 +1,4 @@
-//! An upstream: reads prompts one after another, then streams events.
+//! Emulated upstream: processes prompts one after another, then streams events.
 
 use std::{
     rc::Rc,
@@ -19,27 +19,27 @@
 
 use crate::{
     answer::empty,
-    world::{Behaviour, Run, World},
+    platform::{Behaviour, Platform, Run},
 };
 
-/// Prompt tokens read in a millisecond.
-const PREFILL_PER_MS: u64 = 50;
-/// How many times as long a request takes at an upstream that is slow.
-const SLOW_TIMES: u32 = 6;
-/// Time from one event to the next.
-const EVENT_GAP: Duration = Duration::from_millis(20);
-/// Events of a stream whose request names no number of output tokens.
+/// Prompt tokens processed per millisecond.
+const PREFILL_TOKENS_PER_MS: u64 = 50;
+/// Factor by which a slow upstream takes longer for a request.
+const SLOW_FACTOR: u32 = 6;
+/// Interval between events of a stream.
+const EVENT_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of events in a stream whose request gives no number of output tokens.
 const DEFAULT_EVENTS: u64 = 10;
-/// Body of a request that crashes each upstream that begins to run it.
-const CRASHING: &[u8] = b"crash";
-/// Tokens in an event.
+/// Start of a request body that crashes every upstream that starts to run it.
+const CRASH_BODY: &[u8] = b"crash";
+/// Tokens per event.
 const TOKENS_PER_EVENT: u64 = 3;
 
-/// An upstream's door.
-pub struct EngineDoor {
-    /// The platform.
-    pub world: Rc<World>,
-    /// Its id.
+/// Service that answers the requests to one upstream.
+pub struct UpstreamService {
+    /// The emulated platform.
+    pub platform: Rc<Platform>,
+    /// Id of the upstream.
     pub id: String,
 }
 
@@ -47,14 +47,14 @@
     headers.get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_owned()
 }
 
-impl Service for EngineDoor {
+impl Service for UpstreamService {
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let (parts, body) = request.into_parts();
         let headers = parts.headers;
         if header(&headers, "x-expect-instance") != self.id {
             return empty(StatusCode::MISDIRECTED_REQUEST);
         }
-        let behaviour = self.world.state.borrow().engines.get(&self.id).map(|e| {
+        let behaviour = self.platform.state.borrow().upstreams.get(&self.id).map(|e| {
             match parts.uri.path().starts_with(&e.only_path) {
                 true => e.behaviour,
                 false => Behaviour::Serve,
@@ -63,18 +63,18 @@
         let Some(behaviour) = behaviour else {
             return empty(StatusCode::MISDIRECTED_REQUEST);
         };
-        let arrival = self.world.arrived(&self.id, header(&headers, "x-request-id"));
-        let mut response = self.take(behaviour, &parts.method, &parts.uri, &headers, body).await;
-        // An answer that is lost breaks off before its head: it tells nobody anything.
+        let arrival = self.platform.record_arrival(&self.id, header(&headers, "x-request-id"));
+        let mut response = self.handle(behaviour, &parts.method, &parts.uri, &headers, body).await;
+        // A lost response is cut off before its headers, so it carries no status and no signals.
         if behaviour != Behaviour::Lose {
-            self.world.answered(arrival, &self.id, &mut response);
+            self.platform.record_response(arrival, &self.id, &mut response);
         }
         response
     }
 }
 
-impl EngineDoor {
-    async fn take(
+impl UpstreamService {
+    async fn handle(
         &self,
         behaviour: Behaviour,
         method: &Method,
@@ -90,26 +90,26 @@
         let body = body.collect().await.map(|b| b.to_bytes()).unwrap_or_default();
         let target = format!("{method} {uri}");
         let run = self.begin(headers, target, body.len());
-        let crashes = body.starts_with(CRASHING);
+        let crashes = body.starts_with(CRASH_BODY);
         self.respond(behaviour, headers, run, crashes).await
     }
 }
 
-/// A run that counts as aborted unless it says otherwise.
+/// A running request. It is recorded as aborted when dropped, unless `end` was set.
 struct Running {
-    world: Rc<World>,
+    platform: Rc<Platform>,
     index: usize,
     upstream: String,
-    /// Start of the upstream that runs it.
+    /// Number of starts of the upstream when the request began.
     start: u32,
     end: &'static str,
 }
 
 impl Running {
-    /// Never returns if the upstream has started again since: it knows nothing of
-    /// this run, and its connection stays open.
-    async fn survive(&mut self) {
-        if self.world.starts(&self.upstream) != self.start {
+    /// Never returns if the upstream has restarted since the request began: the restarted
+    /// upstream does not know the request, and its connection stays open.
+    async fn hang_if_restarted(&mut self) {
+        if self.platform.starts(&self.upstream) != self.start {
             self.end = "lost";
             std::future::pending::<()>().await;
         }
@@ -118,11 +118,11 @@
 
 impl Drop for Running {
     fn drop(&mut self) {
-        self.world.end_run(self.index, self.end);
+        self.platform.end_run(self.index, self.end);
     }
 }
 
-impl EngineDoor {
+impl UpstreamService {
     fn begin(&self, headers: &HeaderMap, target: String, body: usize) -> Running {
         let number = |name: &str| header(headers, name).parse().unwrap_or_default();
         let run = Run {
@@ -134,36 +134,37 @@
             deadline_ms: number("x-deadline-ms"),
             resume_after: number("last-event-id"),
             body,
-            began_ms: self.world.now_ms(),
-            version: self.world.version(&self.id),
+            began_ms: self.platform.now_ms(),
+            version: self.platform.version(&self.id),
             ended_ms: 0,
             end: "running",
         };
-        let start = self.world.starts(&self.id);
-        let mut state = self.world.state.borrow_mut();
+        let start = self.platform.starts(&self.id);
+        let mut state = self.platform.state.borrow_mut();
         state.runs.push(run);
         let index = state.runs.len() - 1;
         let upstream = self.id.clone();
-        Running { world: self.world.clone(), index, upstream, start, end: "aborted" }
+        Running { platform: self.platform.clone(), index, upstream, start, end: "aborted" }
     }
 
-    /// Returns how long the prompt takes to be read, behind earlier ones.
-    fn read_prompt(&self, headers: &HeaderMap) -> Duration {
+    /// Queues the prompt behind earlier ones and returns the time until it is processed.
+    /// Only the parts that are not in the cache take time.
+    fn enqueue_prompt(&self, headers: &HeaderMap) -> Duration {
         let now = Instant::now();
-        let mut state = self.world.state.borrow_mut();
-        let Some(engine) = state.engines.get_mut(&self.id) else {
+        let mut state = self.platform.state.borrow_mut();
+        let Some(upstream) = state.upstreams.get_mut(&self.id) else {
             return Duration::ZERO;
         };
         let mut missing = 0;
         for part in header(headers, "x-prompt-prefix").split(',') {
             let (id, tokens) = part.split_once(':').unwrap_or((part, "0"));
-            if engine.cache.insert(id.to_owned()) {
+            if upstream.cache.insert(id.to_owned()) {
                 missing += tokens.parse::<u64>().unwrap_or_default();
             }
         }
-        let begin = engine.reading_until.max(now);
-        engine.reading_until = begin + Duration::from_millis(missing / PREFILL_PER_MS);
-        engine.reading_until.saturating_duration_since(now)
+        let begin = upstream.reading_until.max(now);
+        upstream.reading_until = begin + Duration::from_millis(missing / PREFILL_TOKENS_PER_MS);
+        upstream.reading_until.saturating_duration_since(now)
     }
 
     async fn respond(
@@ -177,13 +178,13 @@
             std::future::pending::<()>().await;
         }
         let streams = headers.contains_key("x-token-usage");
-        sleep(self.read_prompt(headers)).await;
+        sleep(self.enqueue_prompt(headers)).await;
         let work =
-            self.world.state.borrow().engines.get(&self.id).map_or(Duration::ZERO, |e| e.work);
-        sleep(if behaviour == Behaviour::Slow { work * SLOW_TIMES } else { work }).await;
-        run.survive().await;
+            self.platform.state.borrow().upstreams.get(&self.id).map_or(Duration::ZERO, |e| e.work);
+        sleep(if behaviour == Behaviour::Slow { work * SLOW_FACTOR } else { work }).await;
+        run.hang_if_restarted().await;
         if crashes {
-            drop(self.world.crashing.send(self.id.clone()));
+            drop(self.platform.crashing.send(self.id.clone()));
             if !streams {
                 std::future::pending::<()>().await;
             }
@@ -254,7 +255,7 @@
             return;
         }
         tokio::select! {
-            () = run.survive() => {}
+            () = run.hang_if_restarted() => {}
             () = tx.closed() => return,
         }
         let event = Bytes::from(format!("id: {i}\ndata: token {i}\n\n"));
@@ -262,7 +263,7 @@
             return;
         }
         tokio::select! {
-            () = sleep(EVENT_GAP) => {}
+            () = sleep(EVENT_INTERVAL) => {}
             () = tx.closed() => return,
         }
     }
--- a/src/bin/tackhollow-gateway/main.rs
+++ b/src/bin/tackhollow-gateway/main.rs
@@ -11,7 +11,7 @@
 
 const PROGRAM: DaemonProgram<GatewaySettings, StartError> = DaemonProgram {
     name: "tackhollow-gateway",
-    about: "Serves callers on the users' platform: admission, routing, streams, duties.",
+    about: "Serves callers on the users' platform: admission, routing, streaming, lease duties.",
     load: GatewaySettings::load,
     run,
 };
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! Command lines of the daemons and stand-ins.
+//! Command-line parsing for the daemons and test programs.
 
 use std::{
     ffi::OsString,
@@ -12,31 +12,35 @@
 
 use crate::settings::SettingsError;
 
-/// Why a command line cannot be used.
+/// Reason why a command line is rejected.
 #[derive(Debug, Error)]
 pub enum CliError {
     /// An option is unknown or lacks its value.
     #[error("{0}")]
     Syntax(#[from] lexopt::Error),
-    /// An option that must be there is missing.
+    /// A required option is missing.
     #[error("missing {0}; see --help")]
     Missing(&'static str),
 }
 
-/// What a daemon is asked to do.
+/// Command of a daemon, given by its options.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DaemonCommand {
     /// Print the help.
     Help,
     /// Print the version.
     Version,
-    /// Check the settings and stop.
+    /// Validate the settings file and exit.
     Check(PathBuf),
-    /// Run with the settings.
+    /// Run with the settings file.
     Run(PathBuf),
 }
 
-/// Parses the command line of a daemon.
+/// Parses the command line of a daemon; `args` starts with the program name.
+///
+/// # Errors
+///
+/// Fails on unknown options, a missing value or a missing `--settings`.
 pub fn parse_daemon(args: impl IntoIterator<Item = OsString>) -> Result<DaemonCommand, CliError> {
     let mut parser = Parser::from_iter(args);
     let (mut settings, mut check) = (None, false);
@@ -55,22 +59,22 @@
     Ok(if check { DaemonCommand::Check(settings) } else { DaemonCommand::Run(settings) })
 }
 
-/// A daemon's program.
+/// Entry point of a daemon, shared by all of them.
 pub struct DaemonProgram<S, E> {
-    /// Name of the program.
+    /// Name of the executable, for help and error messages.
     pub name: &'static str,
-    /// What it does, in one sentence.
+    /// One-sentence description for the help.
     pub about: &'static str,
-    /// Reads and checks its settings.
+    /// Reads and validates the settings file.
     pub load: fn(&Path) -> Result<S, SettingsError>,
-    /// Runs it until it is told to stop.
+    /// Runs the daemon until it is asked to stop.
     pub run: fn(S) -> Result<(), E>,
 }
 
 impl<S, E: Display> DaemonProgram<S, E> {
-    /// Does what the command line asks for, and says why where that fails.
+    /// Executes the command line and prints an error to standard error if that fails.
     pub fn main(&self, args: impl IntoIterator<Item = OsString>) -> ExitCode {
-        match self.do_command(args) {
+        match self.execute(args) {
             Ok(()) => ExitCode::SUCCESS,
             Err(message) => {
                 eprintln!("{}: {message}", self.name);
@@ -79,7 +83,7 @@
         }
     }
 
-    fn do_command(&self, args: impl IntoIterator<Item = OsString>) -> Result<(), String> {
+    fn execute(&self, args: impl IntoIterator<Item = OsString>) -> Result<(), String> {
         match parse_daemon(args).map_err(|e| e.to_string())? {
             DaemonCommand::Help => print!("{}", daemon_help(self.name, self.about)),
             DaemonCommand::Version => println!("{} {}", self.name, env!("CARGO_PKG_VERSION")),
@@ -96,25 +100,29 @@
     }
 }
 
-/// Returns the help of a daemon.
+/// Returns the help text of a daemon.
 fn daemon_help(name: &str, about: &str) -> String {
     format!(
         "{about}\n\nUsage: {name} --settings FILE [--check]\n\nOptions:\n  \
          -s, --settings FILE  settings in TOML (docs/SETTINGS.md)\n      \
-         --check          report every mistake in the settings and stop\n  \
+         --check          report all invalid settings and exit\n  \
          -h, --help           print this help\n  \
          -V, --version        print the version\n"
     )
 }
 
-/// Options of a stand-in: `--NAME VALUE` pairs with defaults.
+/// Options of a test program, given as `--NAME VALUE` pairs.
 #[derive(Debug)]
 pub struct Options {
     values: Vec<(String, OsString)>,
 }
 
 impl Options {
-    /// Parses `--NAME VALUE` pairs; names not in `known` are errors.
+    /// Parses `--NAME VALUE` pairs.
+    ///
+    /// # Errors
+    ///
+    /// Fails on names that are not in `known` and on missing values.
     pub fn parse(
         args: impl IntoIterator<Item = OsString>,
         known: &[&str],
@@ -133,7 +141,12 @@
         Ok(Self { values })
     }
 
-    /// Returns a value, or `None` where the option was not given.
+    /// Returns the value of an option, the last one if it was given several times, or
+    /// `None` if it was not given.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the value does not parse as `T`.
     pub fn get<T>(&self, name: &str) -> Result<Option<T>, CliError>
     where
         T: std::str::FromStr,
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,8 +1,8 @@
-//! The host's clock: steady, and it goes on while the host is suspended.
+//! Monotonic clock that keeps running while the host is suspended (`CLOCK_BOOTTIME`).
 //!
-//! The steady clock of the standard library stands still then. A lease, a deadline or
-//! the age of a heartbeat measured by it lasts longer for this process than for everybody
-//! else, by the whole time of the suspension: two holders of one lease would act at once.
+//! [`Instant::now`] stops during a suspension. A lease, a deadline or the age of a
+//! heartbeat measured with it would last longer in this process than in all others, by
+//! the length of the suspension, and two holders of one lease could act at the same time.
 
 use std::{
     future::Future,
@@ -15,11 +15,11 @@
 use thiserror::Error;
 use tokio::{sync::Notify, time::sleep};
 
-/// Difference between the two clocks from which it is told that the host was suspended:
-/// they are read one after the other, with a pause of the process between at times.
-const SUSPENDED: Duration = Duration::from_millis(50);
+/// Shortest growth of the offset between the two clocks that counts as a suspension. The
+/// clocks are read one after the other, and the process may be preempted in between.
+const MIN_SUSPENSION: Duration = Duration::from_millis(50);
 
-/// Maps readings of the boot clock to moments of the standard type.
+/// Maps readings of the boot clock to [`Instant`]s.
 #[derive(Clone, Copy, Debug)]
 pub struct HostClock {
     start: Instant,
@@ -27,13 +27,13 @@
 }
 
 impl HostClock {
-    /// Creates the clock from one reading of both: `boot` is the time since the host's
-    /// start, suspensions included.
+    /// Creates the clock from simultaneous readings of both clocks. `boot` is the time
+    /// since the host booted, including suspensions.
     pub fn new(start: Instant, boot: Duration) -> Self {
         Self { start, boot }
     }
 
-    /// Returns the moment at which the boot clock shows `boot`.
+    /// Returns the [`Instant`] at which the boot clock reads `boot`.
     pub fn moment(&self, boot: Duration) -> Instant {
         self.start + boot.saturating_sub(self.boot)
     }
@@ -44,35 +44,37 @@
     time.expect("every Linux that this runs on has a boot clock").into()
 }
 
-/// Returns the present moment. To be compared only with moments from here.
+/// Returns the current time. Compare it only with times from this module, not with
+/// [`Instant::now`].
 pub fn now() -> Instant {
     static CLOCK: OnceLock<HostClock> = OnceLock::new();
     CLOCK.get_or_init(|| HostClock::new(Instant::now(), boot_time())).moment(boot_time())
 }
 
 thread_local! {
-    /// Wakes whoever sleeps: the runtime's timers stand still during a suspension.
+    /// Wakes sleeping tasks after a suspension, during which the runtime's timers stop.
     static RESUMED: Rc<Notify> = Rc::default();
 }
 
-/// Notices that the host was suspended.
+/// Detects suspensions of the host.
 #[derive(Debug, Default)]
 pub struct SuspensionWatch {
-    /// How far the boot clock is ahead of the steady one.
+    /// Offset of the boot clock from [`Instant::now`]; `None` before the first reading.
     ahead: Option<Duration>,
 }
 
 impl SuspensionWatch {
-    /// Takes a reading of the steady clock and one of this module's; returns for how long
-    /// the host was suspended since the reading before, if it was.
+    /// Records a reading of [`Instant::now`] and one of [`now`]. Returns the length of the
+    /// suspension since the previous reading, or `None` if there was none.
     pub fn note(&mut self, steady: Instant, moment: Instant) -> Option<Duration> {
         let ahead = moment.saturating_duration_since(steady);
         let before = self.ahead.replace(ahead)?;
         let suspended = ahead.saturating_sub(before);
-        (suspended >= SUSPENDED).then_some(suspended)
+        (suspended >= MIN_SUSPENSION).then_some(suspended)
     }
 
-    /// Looks whether the host was suspended since the last look, and wakes sleepers then.
+    /// Reads both clocks. If the host was suspended since the last call, wakes sleeping
+    /// tasks and returns the length of the suspension.
     pub fn look(&mut self) -> Option<Duration> {
         let suspended = self.note(Instant::now(), now())?;
         RESUMED.with(|resumed| resumed.notify_waiters());
@@ -80,14 +82,14 @@
     }
 }
 
-/// Waits until a moment.
+/// Sleeps until `at`, a time from [`now`].
 pub async fn sleep_until(at: Instant) {
     let resumed = RESUMED.with(Rc::clone);
     sleep_until_by(at, now, &resumed).await;
 }
 
-/// Waits until a moment by the clock that `now` reads; `resumed` tells that it may have
-/// gone on while timers did not.
+/// Sleeps until the clock read by `now` reaches `at`. `resumed` triggers a new reading
+/// after a suspension, during which the clock runs on but timers stop.
 pub async fn sleep_until_by(at: Instant, now: impl Fn() -> Instant, resumed: &Notify) {
     loop {
         let resumption = resumed.notified();
@@ -102,20 +104,20 @@
     }
 }
 
-/// The time is over.
+/// The deadline passed before a future completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the time is over")]
-pub struct TimeOver;
+pub struct DeadlineElapsed;
 
-/// Waits for a future until a moment.
+/// Waits for a future until the deadline `at`, a time from [`now`].
 ///
 /// # Errors
 ///
-/// Fails if the moment comes first.
-pub async fn timeout_at<F: Future>(at: Instant, future: F) -> Result<F::Output, TimeOver> {
+/// Fails if the deadline passes first.
+pub async fn timeout_at<F: Future>(at: Instant, future: F) -> Result<F::Output, DeadlineElapsed> {
     tokio::select! {
         biased;
         output = future => Ok(output),
-        () = sleep_until(at) => Err(TimeOver),
+        () = sleep_until(at) => Err(DeadlineElapsed),
     }
 }
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers: type aliases, and the home that request ids and keys name.
+//! Identifiers: type aliases, and the home process encoded in request ids and keys.
 
 use std::{fmt, net::SocketAddr, str::FromStr};
 
@@ -17,34 +17,34 @@
 pub type UpstreamId = String;
 /// Name of a model, or `service:NAME` for a plain service.
 pub type Model = String;
-/// Random number that a process draws at start; never reused.
+/// Random number drawn by a process at start; never reused.
 pub type Incarnation = u64;
 /// Identifier of a request: `HOME.NUMBER`.
 pub type RequestId = String;
 /// Number of a placement grant, unique within the owner's incarnation.
 pub type GrantId = u64;
-/// Version of the configuration; rises by one with each accepted change.
+/// Version of the configuration, incremented by each accepted change.
 pub type ConfigVersion = u64;
 
-/// The process that alone may dispatch a request or key: its address for
-/// callers and its incarnation.
+/// The only process that may dispatch a request or use a key, identified by its
+/// address for callers and its incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Home {
     /// Address on which the process serves callers.
     #[serde(rename = "h")]
     pub http: SocketAddr,
-    /// Incarnation of the process.
+    /// Incarnation of the process; a restarted process at the same address has another.
     #[serde(rename = "n")]
     pub incarnation: Incarnation,
 }
 
-/// Why a text is not a [`Home`].
+/// Reason why a string does not parse as a [`Home`].
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ParseHomeError {
-    /// The text does not have the parts `IP-PORT-INCARNATION`.
+    /// The string does not have the form `IP-PORT-INCARNATION`.
     #[error("expected IP-PORT-INCARNATION")]
     Shape,
-    /// The address part is not an IP number with a port.
+    /// The address part is not an IP address with a port.
     #[error("the address is not an IP number and a port")]
     Address,
     /// The incarnation is not a hexadecimal number.
@@ -74,7 +74,7 @@
     }
 }
 
-/// Splits `HOME.REST` into its home and the rest; `None` for other texts.
+/// Splits `HOME.REST` into its home and the rest; `None` if the string has another form.
 ///
 /// The address may hold dots, so the split is at the last one.
 pub fn split_home(id: &str) -> Option<(Home, &str)> {
--- a/src/prefix.rs
+++ b/src/prefix.rs
@@ -2,10 +2,10 @@
 
 /// Bytes of prompt text in one block.
 pub const BLOCK_BYTES: usize = 256;
-/// Blocks of a prompt that are fingerprinted at most.
+/// Maximum number of blocks of a prompt that are fingerprinted.
 pub const MAX_BLOCKS: usize = 64;
 
-/// Fingerprint of a prefix that ends on a block boundary.
+/// Hash of a prompt prefix that ends on a block boundary.
 pub type Fingerprint = u64;
 
 const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
@@ -21,8 +21,8 @@
     fnv1a(FNV_OFFSET, bytes)
 }
 
-/// Returns the chained fingerprints of the whole blocks of `text`, the
-/// shortest prefix first, at most [`MAX_BLOCKS`].
+/// Returns the fingerprints of all prefixes of `text` that consist of complete blocks,
+/// shortest first, at most [`MAX_BLOCKS`]. Each covers all bytes up to its end.
 pub fn fingerprints(text: &str) -> Vec<Fingerprint> {
     text.as_bytes()
         .chunks_exact(BLOCK_BYTES)
--- a/src/settings/control.rs
+++ b/src/settings/control.rs
@@ -4,34 +4,39 @@
 
 use log::LevelFilter;
 
-use super::{Section, SettingsError, entry::LEVELS, load};
+use super::{Section, SettingsError, entry::LOG_LEVELS, load};
 use crate::ids::DataCentre;
 
 /// Settings of a control process.
 #[derive(Clone, Debug)]
 pub struct ControlSettings {
-    /// Name of the process.
+    /// Name of this process.
     pub id: String,
-    /// Data centre whose engines it gives orders to.
+    /// Data centre whose engines this process controls.
     pub data_centre: DataCentre,
-    /// Level of logs.
+    /// Least severe level that is logged.
     pub log_level: LevelFilter,
-    /// Address for metrics and health.
+    /// Listen address of the metrics and health endpoints.
     pub http: SocketAddr,
-    /// Address of the platform's service.
+    /// Address of the platform API.
     pub platform: SocketAddr,
-    /// Longest wait for one call of the platform.
+    /// Timeout of one call to the platform.
     pub platform_timeout: Duration,
-    /// For how long a lease holds without renewal.
+    /// Time after which a lease expires unless it is renewed.
     pub lease_ttl: Duration,
-    /// Time before the end of a lease from which no order is given.
+    /// Time before lease expiry during which no more orders are sent.
     pub lease_margin: Duration,
-    /// Between rounds of the controllers.
+    /// Interval between controller runs.
     pub period: Duration,
 }
 
 impl ControlSettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the file cannot be read, is not TOML or holds invalid settings; all of
+    /// them are reported together.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         load(path, Self::parse)
     }
@@ -56,7 +61,7 @@
         Self {
             id: s.text("id"),
             data_centre: s.text("data_centre"),
-            log_level: s.one_of("log_level", &LEVELS, LevelFilter::Info),
+            log_level: s.one_of("log_level", &LOG_LEVELS, LevelFilter::Info),
             http: s.section("listen", |l| l.addr("http")),
             platform,
             platform_timeout,
--- a/src/settings/entry.rs
+++ b/src/settings/entry.rs
@@ -10,8 +10,8 @@
     routing::Policy,
 };
 
-/// Words for the level of logs.
-pub(super) const LEVELS: [(&str, LevelFilter); 4] = [
+/// Accepted values of `log_level`.
+pub(super) const LOG_LEVELS: [(&str, LevelFilter); 4] = [
     ("error", LevelFilter::Error),
     ("warn", LevelFilter::Warn),
     ("info", LevelFilter::Info),
@@ -28,65 +28,70 @@
 /// Settings of an entry process.
 #[derive(Clone, Debug)]
 pub struct EntrySettings {
-    /// Name of the entry host.
+    /// Name of the entry host, unique within the system.
     pub id: EntryId,
-    /// Its data centre.
+    /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// Its region.
+    /// Region of the host.
     pub region: Region,
-    /// Level of logs.
+    /// Least severe level that is logged.
     pub log_level: LevelFilter,
-    /// Address for callers and operators.
+    /// Listen address for callers and operators, over HTTP.
     pub http: SocketAddr,
-    /// Address for requests between processes.
+    /// Listen address for requests from other entry processes.
     pub peer: SocketAddr,
-    /// Address for membership datagrams.
+    /// Listen address for gossip datagrams.
     pub gossip: SocketAddr,
-    /// Membership addresses of some other entry processes.
+    /// Gossip addresses of other entry processes, contacted to join the cluster.
     pub seeds: Vec<SocketAddr>,
-    /// Key shared between processes.
+    /// Secret shared by all entry processes.
     pub secret: String,
-    /// Address of the platform's service.
+    /// Address of the platform API.
     pub platform: SocketAddr,
-    /// Longest wait for one call of the platform.
+    /// Timeout of one call to the platform.
     pub platform_timeout: Duration,
-    /// Hashes of the operators' keys, as `NAME:SHA256`.
+    /// Operators' names, each with the SHA-256 hash of the API key in lower-case hexadecimal.
     pub operators: Vec<(String, String)>,
-    /// Choice among the upstreams that this process owns.
+    /// Routing policy among the upstreams that this process owns.
     pub policy: Policy,
-    /// Limits.
+    /// Limits and timeouts.
     pub limits: Limits,
 }
 
-/// Limits and times of an entry process.
+/// Limits and timeouts of an entry process.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Requests in progress at most.
+    /// Maximum number of requests in progress.
     pub in_progress: u32,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u32,
-    /// Longest silence of a caller while it sends a request.
+    /// Idle timeout while a caller sends its request.
     pub read_timeout: Duration,
-    /// Longest silence of an engine during a stream.
+    /// Idle timeout of an engine's event stream.
     pub engine_silence: Duration,
-    /// For how long callers may keep an answer of `/v1/entries`.
+    /// Time for which callers may cache a response of `/v1/entries`.
     pub entries_ttl: Duration,
-    /// For how long a finished request can be asked for again.
+    /// Time for which the result of a finished request can still be fetched.
     pub keep_finished: Duration,
-    /// For how long a key may first be used after its prefix was given out.
+    /// Time after a key prefix is issued within which a key with it must first be used.
     pub key_validity: Duration,
-    /// Between reads of the configuration log.
+    /// Interval between reads of the configuration log.
     pub config_poll: Duration,
-    /// Between reads of the cloud's list of hosts.
+    /// Interval between reads of the cloud's list of hosts.
     pub directory_poll: Duration,
-    /// Silence of an upstream after which it gets no new work.
+    /// Time without a message from an upstream after which it gets no new requests.
     pub upstream_silence: Duration,
-    /// Time before the end of a reclaim notice at which requests are handed over.
+    /// Time before a reclaim notice expires at which requests are handed over.
     pub hand_over_margin: Duration,
 }
 
 impl EntrySettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
+    ///
+    /// # Errors
+    ///
+    /// Fails if the file cannot be read, is not TOML or holds invalid settings; all of
+    /// them are reported together.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         load(path, Self::parse)
     }
@@ -102,7 +107,7 @@
             id: s.text("id"),
             data_centre: s.text("data_centre"),
             region: s.text("region"),
-            log_level: s.one_of("log_level", &LEVELS, LevelFilter::Info),
+            log_level: s.one_of("log_level", &LOG_LEVELS, LevelFilter::Info),
             http,
             peer,
             gossip,
@@ -117,7 +122,7 @@
     }
 }
 
-/// Reads `keys`, a list of `NAME:SHA256`.
+/// Parses `keys`, a list of `NAME:SHA256`.
 fn parse_operators(s: &mut Section) -> Vec<(String, String)> {
     let mut operators = Vec::new();
     for text in s.texts("keys") {
--- a/src/settings/gateway.rs
+++ b/src/settings/gateway.rs
@@ -8,98 +8,99 @@
 
 use log::LevelFilter;
 
-use super::{Section, SettingsError, entry::LEVELS, load};
+use super::{Section, SettingsError, entry::LOG_LEVELS, load};
 use crate::{
     gateway::decide::{CapacityPolicy, DisabledMechanisms, ExposureTerms, Mechanism, QuotaPolicy},
     ids::DataCentre,
 };
 
-/// Share of the quotas' slack by which buckets exceed the burst. The sum over
-/// the window keeps rate and burst; after a restart, whose window is not known,
-/// the rest of the slack is left.
-const QUOTA_SLACK_USED: f64 = 0.5;
+/// Share of the quota slack by which token buckets may exceed the burst. The count
+/// over the quota window still enforces rate and burst. The rest of the slack covers
+/// restarts, after which the usage within the current window is unknown.
+const QUOTA_SLACK_SHARE: f64 = 0.5;
 
-/// Addresses on which the process serves.
+/// Listen addresses of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenSettings {
-    /// Callers' requests.
+    /// Requests of callers.
     pub callers: SocketAddr,
-    /// Callers' questions which addresses to use.
+    /// Callers' lookups of the gateway addresses to use.
     pub directory: SocketAddr,
-    /// The platform's question whether the process is ready.
+    /// Readiness probes of the platform.
     pub readiness: SocketAddr,
-    /// Other gateways' questions, metrics and status, over HTTP.
+    /// Requests of other gateways, metrics and status, over HTTP.
     pub peers: SocketAddr,
     /// Heartbeats of other gateways, over UDP.
     pub heartbeats: SocketAddr,
 }
 
-/// Bounds that the operators set.
+/// Limits and timeouts that the operators set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Time from the stop signal until the process is killed.
+    /// Grace period from the stop signal until the process is killed.
     pub grace: Duration,
-    /// Second attempts for each request.
+    /// Retry budget: retries allowed per request.
     pub retry_ratio: f64,
-    /// Second attempts in a window beyond that, all processes together.
+    /// Retries allowed per window on top of `retry_ratio`, over all gateways together.
     pub retry_surplus: f64,
-    /// Length of the window in which second attempts are counted.
+    /// Length of the window over which retries are counted.
     pub retry_window: Duration,
-    /// How the operator counts quotas.
+    /// How quotas are counted.
     pub quotas: QuotaPolicy,
-    /// Length of a window of the usage report.
+    /// Length of one window of the usage report.
     pub usage_window: Duration,
-    /// Time in which two holders may not act in turns.
+    /// Time within which two lease holders must not act alternately.
     pub lease: Duration,
-    /// What a version may get that turns out to be bad.
+    /// Limit of the requests that a version may receive that turns out to be bad.
     pub exposure: ExposureTerms,
-    /// Longest time for which callers keep an answer to their question.
+    /// Longest time for which callers cache a response of the directory.
     pub directory_ttl: Duration,
 }
 
-/// How many engines are kept for the load.
+/// How many engines are kept running for a given load.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CapacitySettings {
-    /// What is kept beyond the load.
+    /// Spare capacity kept beyond the load.
     pub policy: CapacityPolicy,
-    /// Engines needed beyond those that the load keeps busy, for each square root
-    /// of their number.
+    /// Factor of the square-root staffing rule: `safety * sqrt(n)` engines are needed
+    /// beyond the `n` that the load keeps busy.
     pub safety: f64,
 }
 
 /// Settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// File that the settings were read from.
+    /// Path of the settings file.
     pub file: PathBuf,
-    /// Name of the host, unique in the system.
+    /// Name of the host, unique within the system.
     pub id: String,
     /// Data centre of the host.
     pub data_centre: DataCentre,
-    /// Level of the plain log lines on standard error.
+    /// Least severe level that is logged as plain text to standard error.
     pub log_level: LevelFilter,
-    /// Addresses on which the process serves.
+    /// Listen addresses.
     pub listen: ListenSettings,
-    /// Hosts that are asked first for the others.
+    /// Hosts contacted first to discover the other gateways.
     pub seeds: Vec<IpAddr>,
     /// Address of the platform's store.
     pub store: SocketAddr,
-    /// Address of the platform's API for orders and reports.
+    /// Address of the platform API for orders and reports.
     pub api: SocketAddr,
-    /// Bounds that the operators set.
+    /// Limits and timeouts that the operators set.
     pub bounds: Bounds,
-    /// How many engines are kept for the load.
+    /// How many engines are kept running for a given load.
     pub capacity: CapacitySettings,
-    /// Mechanisms that are switched off, for measurements.
+    /// Mechanisms that are disabled, for measurements.
     pub off: DisabledMechanisms,
 }
 
 impl GatewaySettings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     ///
     /// # Errors
     ///
-    /// Fails with every mistake in the file.
+    /// Fails if the file cannot be read, is not TOML or holds invalid settings; all of
+    /// them are reported together.
     pub fn load(path: &Path) -> Result<Self, SettingsError> {
         load(path, |s| Self::parse(s, path))
     }
@@ -111,7 +112,7 @@
             file: path.to_owned(),
             id: s.text("id"),
             data_centre: s.text("data_centre"),
-            log_level: s.one_of("log_level", &LEVELS, LevelFilter::Warn),
+            log_level: s.one_of("log_level", &LOG_LEVELS, LevelFilter::Warn),
             listen: s.section("listen", listen),
             seeds: seeds.iter().map(SocketAddr::ip).collect(),
             store,
@@ -133,7 +134,7 @@
     }
 }
 
-/// Defaults are the figures of the smaller deployments.
+/// The defaults are the values of the smaller deployments.
 fn bounds(s: &mut Section) -> Bounds {
     let secs = Duration::from_secs;
     Bounds {
@@ -143,7 +144,7 @@
         retry_window: s.seconds("retry_window_s", secs(10)),
         quotas: QuotaPolicy {
             window: s.seconds("quota_window_s", secs(8)),
-            extra: s.number("quota_slack", 0.0) * QUOTA_SLACK_USED,
+            extra: s.number("quota_slack", 0.0) * QUOTA_SLACK_SHARE,
         },
         usage_window: s.seconds("usage_window_s", secs(5)),
         lease: s.millis("lease_ms", secs(3)),
@@ -155,7 +156,7 @@
     }
 }
 
-/// Defaults were chosen by the runs in docs/MEASURED.md.
+/// The runs behind the defaults are in docs/MEASURED.md.
 fn capacity(s: &mut Section) -> CapacitySettings {
     CapacitySettings {
         policy: CapacityPolicy {
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of the daemons, in TOML. Every mistake is reported at once.
+//! Settings of the daemons, in TOML. All invalid settings of a file are reported together.
 
 mod control;
 mod entry;
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reading of settings that collects every mistake with its place.
+//! Settings reader that collects all invalid settings of a file, each with its key.
 
 use std::{
     collections::BTreeSet,
@@ -11,14 +11,14 @@
 use thiserror::Error;
 use toml::{Table, Value};
 
-/// A mistake in a settings file.
+/// An invalid or missing setting.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Mistake {
-    /// The key, with its section.
+    /// Full key, such as `limits.body_bytes`.
     pub key: String,
-    /// What was expected.
+    /// Description of the valid values.
     pub expected: String,
-    /// What was found, or `nothing`.
+    /// Type and value that the file holds, or `nothing` if the key is missing.
     pub found: String,
 }
 
@@ -28,41 +28,45 @@
     }
 }
 
-/// Why settings could not be used.
+/// Reason why settings could not be loaded.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Read {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Why.
+        /// Error of the file system.
         source: std::io::Error,
     },
     /// The file is not TOML.
     #[error("{}: {message}", path.display())]
     Syntax {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Where and why.
+        /// Position and reason, from the TOML parser.
         message: String,
     },
-    /// The file holds mistakes.
-    #[error("{}", list(path, mistakes))]
+    /// The file holds invalid settings.
+    #[error("{}", format_mistakes(path, mistakes))]
     Mistakes {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Every mistake.
+        /// All invalid settings; never empty.
         mistakes: Vec<Mistake>,
     },
 }
 
-fn list(path: &Path, mistakes: &[Mistake]) -> String {
+fn format_mistakes(path: &Path, mistakes: &[Mistake]) -> String {
     let lines = mistakes.iter().map(|m| format!("{}: {m}", path.display()));
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// Reads a settings file with `parse`, which reports mistakes to the section.
+/// Reads a settings file with `parse`, which reports invalid settings to the section.
+///
+/// # Errors
+///
+/// Fails if the file cannot be read, is not TOML or if `parse` reported invalid settings.
 pub fn load<T>(path: &Path, parse: impl FnOnce(&mut Section) -> T) -> Result<T, SettingsError> {
     let text = fs::read_to_string(path)
         .map_err(|source| SettingsError::Read { path: path.to_owned(), source })?;
@@ -79,7 +83,7 @@
     Err(SettingsError::Mistakes { path: path.to_owned(), mistakes })
 }
 
-/// A table of settings that is being read.
+/// A TOML table that is being parsed into settings.
 #[derive(Debug)]
 pub struct Section {
     table: Table,
@@ -89,14 +93,14 @@
 }
 
 impl Section {
-    /// Creates a section from a table; `path` is empty at the root.
+    /// Creates a section; `path` is its full key, empty for the root table.
     pub fn new(table: Table, path: String) -> Self {
         Self { table, path, known: BTreeSet::new(), mistakes: Vec::new() }
     }
 
-    /// Reads a sub-table with `parse`; an absent one reads as empty.
+    /// Parses a sub-table; a missing one counts as empty.
     pub fn section<T>(&mut self, key: &str, parse: impl FnOnce(&mut Self) -> T) -> T {
-        let table = match self.take(key) {
+        let table = match self.lookup(key) {
             None => Table::new(),
             Some(Value::Table(table)) => table,
             Some(other) => {
@@ -104,23 +108,23 @@
                 Table::new()
             }
         };
-        let mut section = Self::new(table, self.full(key));
+        let mut section = Self::new(table, self.full_key(key));
         let parsed = parse(&mut section);
         self.mistakes.extend(section.finish());
         parsed
     }
 
-    /// Reads a text that must be there and not empty.
+    /// Returns a required, non-empty string.
     pub fn text(&mut self, key: &str) -> String {
-        match self.take(key) {
+        match self.lookup(key) {
             Some(Value::String(s)) if !s.is_empty() => s,
-            other => self.wrong(key, "a text that is not empty", other.as_ref(), String::new()),
+            other => self.invalid(key, "a text that is not empty", other.as_ref(), String::new()),
         }
     }
 
-    /// Reads a list of texts; an absent one is empty.
+    /// Returns a list of strings, empty if the key is missing.
     pub fn texts(&mut self, key: &str) -> Vec<String> {
-        let Some(value) = self.take(key) else {
+        let Some(value) = self.lookup(key) else {
             return Vec::new();
         };
         let texts = value.as_array().map(|items| {
@@ -128,11 +132,11 @@
         });
         match texts.flatten() {
             Some(texts) => texts,
-            None => self.wrong(key, "a list of texts", Some(&value), Vec::new()),
+            None => self.invalid(key, "a list of texts", Some(&value), Vec::new()),
         }
     }
 
-    /// Reads a list of words of a closed set; an absent one is empty.
+    /// Returns the values of a list of enumerated words, empty if the key is missing.
     pub fn some_of<T: Copy>(&mut self, key: &str, words: &[(&str, T)]) -> Vec<T> {
         let listed = self.texts(key);
         let named = |text: &String| words.iter().find(|(word, _)| word == text).map(|(_, t)| *t);
@@ -144,15 +148,16 @@
         found
     }
 
-    /// Reads an address that must be there.
+    /// Returns a required IP address with port.
     pub fn addr(&mut self, key: &str) -> SocketAddr {
         let unset = SocketAddr::from(([0, 0, 0, 0], 0));
-        let value = self.take(key);
+        let value = self.lookup(key);
         let parsed = value.as_ref().and_then(|v| v.as_str()).and_then(|s| s.parse().ok());
-        parsed.unwrap_or_else(|| self.wrong(key, "an IP number and a port", value.as_ref(), unset))
+        parsed
+            .unwrap_or_else(|| self.invalid(key, "an IP number and a port", value.as_ref(), unset))
     }
 
-    /// Reads a list of addresses; an absent one is empty.
+    /// Returns a list of IP addresses with ports, empty if the key is missing.
     pub fn addrs(&mut self, key: &str) -> Vec<SocketAddr> {
         let texts = self.texts(key);
         let parsed: Result<Vec<SocketAddr>, _> = texts.iter().map(|t| t.parse()).collect();
@@ -162,29 +167,29 @@
         })
     }
 
-    /// Reads a whole number from `1` up, or takes the default.
+    /// Returns a positive integer, or `default` if the key is missing.
     pub fn count(&mut self, key: &str, default: u32) -> u32 {
-        let value = self.take(key);
+        let value = self.lookup(key);
         match &value {
             None => default,
             Some(Value::Integer(n)) if *n > 0 && *n <= i64::from(u32::MAX) => *n as u32,
-            Some(_) => self.wrong(key, "a whole number above zero", value.as_ref(), default),
+            Some(_) => self.invalid(key, "a whole number above zero", value.as_ref(), default),
         }
     }
 
-    /// Reads a time in milliseconds from `1` up, or takes the default.
+    /// Returns a positive integer of milliseconds, or `default` if the key is missing.
     pub fn millis(&mut self, key: &str, default: Duration) -> Duration {
-        let value = self.take(key);
+        let value = self.lookup(key);
         match &value {
             None => default,
             Some(Value::Integer(n)) if *n > 0 => Duration::from_millis(*n as u64),
-            Some(_) => self.wrong(key, "milliseconds above zero", value.as_ref(), default),
+            Some(_) => self.invalid(key, "milliseconds above zero", value.as_ref(), default),
         }
     }
 
-    /// Reads a number that is not negative, or takes the default.
+    /// Returns a non-negative number, or `default` if the key is missing.
     pub fn number(&mut self, key: &str, default: f64) -> f64 {
-        let value = self.take(key);
+        let value = self.lookup(key);
         let read = match &value {
             None => Some(default),
             Some(Value::Integer(n)) => Some(*n as f64),
@@ -193,11 +198,11 @@
         };
         match read.filter(|n| *n >= 0.0 && n.is_finite()) {
             Some(n) => n,
-            None => self.wrong(key, "a number that is not negative", value.as_ref(), default),
+            None => self.invalid(key, "a number that is not negative", value.as_ref(), default),
         }
     }
 
-    /// Reads a time in seconds above zero, or takes the default.
+    /// Returns a positive number of seconds, or `default` if the key is missing.
     pub fn seconds(&mut self, key: &str, default: Duration) -> Duration {
         let read = self.number(key, default.as_secs_f64());
         match Duration::try_from_secs_f64(read) {
@@ -209,9 +214,9 @@
         }
     }
 
-    /// Reads one of a closed set of words, or takes the default.
+    /// Returns the value of an enumerated word, or `default` if the key is missing.
     pub fn one_of<T: Copy>(&mut self, key: &str, words: &[(&str, T)], default: T) -> T {
-        let Some(value) = self.take(key) else {
+        let Some(value) = self.lookup(key) else {
             return default;
         };
         let found = value.as_str().and_then(|s| words.iter().find(|(word, _)| *word == s));
@@ -219,10 +224,10 @@
             return *value;
         }
         let names: Vec<&str> = words.iter().map(|(word, _)| *word).collect();
-        self.wrong(key, &format!("one of {}", names.join(", ")), Some(&value), default)
+        self.invalid(key, &format!("one of {}", names.join(", ")), Some(&value), default)
     }
 
-    /// Returns the mistakes, one for each key that was not asked for included.
+    /// Returns all invalid settings, including the keys that no call has read.
     pub fn finish(self) -> Vec<Mistake> {
         let mut mistakes = self.mistakes;
         let prefix = if self.path.is_empty() { String::new() } else { format!("{}.", self.path) };
@@ -237,25 +242,30 @@
         mistakes
     }
 
-    /// Reports a mistake.
+    /// Reports an invalid setting.
     pub fn mistake(&mut self, key: &str, expected: &str, found: &str) {
-        let mistake =
-            Mistake { key: self.full(key), expected: expected.to_owned(), found: found.to_owned() };
+        let mistake = Mistake {
+            key: self.full_key(key),
+            expected: expected.to_owned(),
+            found: found.to_owned(),
+        };
         self.mistakes.push(mistake);
     }
 
-    fn wrong<T>(&mut self, key: &str, expected: &str, found: Option<&Value>, default: T) -> T {
+    /// Reports an invalid value and returns the default to continue with.
+    fn invalid<T>(&mut self, key: &str, expected: &str, found: Option<&Value>, default: T) -> T {
         let found = found.map_or_else(|| "nothing".to_owned(), describe);
         self.mistake(key, expected, &found);
         default
     }
 
-    fn take(&mut self, key: &str) -> Option<Value> {
+    /// Returns the value of a key and marks the key as known.
+    fn lookup(&mut self, key: &str) -> Option<Value> {
         self.known.insert(key.to_owned());
         self.table.get(key).cloned()
     }
 
-    fn full(&self, key: &str) -> String {
+    fn full_key(&self, key: &str) -> String {
         if self.path.is_empty() { key.to_owned() } else { format!("{}.{key}", self.path) }
     }
 }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,8 +1,8 @@
-//! Wall-clock helpers. Decisions take `Instant` or `Duration` as arguments.
+//! Wall-clock helpers. Decision logic takes `Instant` or `Duration` as arguments instead.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// Milliseconds since the Unix epoch, for records that people read.
+/// Milliseconds since the Unix epoch, for human-readable records.
 pub type UnixMillis = u64;
 
 /// Returns the wall-clock time in milliseconds since the Unix epoch.
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,24 +1,24 @@
-//! Settings: every mistake is named with its place, and docs/SETTINGS.md lists
-//! just the keys that there are.
+//! Settings files: all invalid settings are reported with their keys, and
+//! docs/SETTINGS.md lists exactly the keys that the daemons accept.
 
 use std::{collections::BTreeSet, fs, path::Path};
 
 use tackhollow::settings::{ControlSettings, EntrySettings, GatewaySettings, SettingsError};
 use tempfile::TempDir;
 
-/// A settings file and the mistakes it must be told of.
+/// A settings file and the errors that loading it must report.
 struct Case {
     name: &'static str,
     text: &'static str,
     mistakes: &'static [&'static str],
 }
 
-const GOOD: &str = "id = \"a\"\ndata_centre = \"b\"\nregion = \"c\"\n\
+const VALID: &str = "id = \"a\"\ndata_centre = \"b\"\nregion = \"c\"\n\
     [listen]\nhttp = \"127.0.0.1:1\"\npeer = \"127.0.0.1:2\"\ngossip = \"127.0.0.1:3\"\n\
     [peers]\nsecret = \"s\"\n[platform]\naddress = \"127.0.0.1:4\"\n";
 
 const CASES: [Case; 6] = [
-    Case { name: "good", text: GOOD, mistakes: &[] },
+    Case { name: "valid", text: VALID, mistakes: &[] },
     Case {
         name: "empty",
         text: "",
@@ -64,20 +64,20 @@
 
 fn load(dir: &TempDir, text: &str) -> Result<EntrySettings, SettingsError> {
     let path = dir.path().join("entry.toml");
-    fs::write(&path, text).expect("the file is written");
+    fs::write(&path, text).expect("write the settings file");
     EntrySettings::load(&path)
 }
 
 #[test]
 fn every_mistake_is_named() {
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("create a temporary directory");
     for case in CASES {
         let message = load(&dir, case.text).map_or_else(|e| e.to_string(), |_| String::new());
         assert_eq!(message.is_empty(), case.mistakes.is_empty(), "{}: {message}", case.name);
         for mistake in case.mistakes {
             assert!(
                 message.contains(mistake),
-                "{}: {mistake:?} is missing in {message}",
+                "{}: {mistake:?} not reported in {message}",
                 case.name
             );
         }
@@ -86,28 +86,30 @@
 
 #[test]
 fn a_lease_without_room_for_its_margin_is_refused() {
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("create a temporary directory");
     let path = dir.path().join("control.toml");
     let text = "id = \"a\"\ndata_centre = \"b\"\nlisten.http = \"127.0.0.1:1\"\n\
         platform.address = \"127.0.0.1:2\"\nlease.ttl_ms = 3000\nlease.margin_ms = 2500\n";
-    fs::write(&path, text).expect("the file is written");
-    let message = ControlSettings::load(&path).expect_err("a mistake").to_string();
+    fs::write(&path, text).expect("write the settings file");
+    let message =
+        ControlSettings::load(&path).expect_err("the settings must be rejected").to_string();
     assert!(message.contains("lease.margin_ms: expected less than"), "{message}");
 }
 
-/// Returns the keys that a program knows: those it names for unknown ones.
+/// Returns the keys that a daemon accepts, taken from its errors about an unknown key
+/// `zz` in each section.
 fn known_keys(sections: &[&str], load: impl Fn(&Path) -> String) -> BTreeSet<String> {
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("create a temporary directory");
     let path = dir.path().join("settings.toml");
     let mut text = "zz = 1\n".to_owned();
     for section in sections {
         text.push_str(&format!("[{section}]\nzz = 1\n"));
     }
-    fs::write(&path, text).expect("the file is written");
+    fs::write(&path, text).expect("write the settings file");
     let mut keys = BTreeSet::new();
     for line in load(&path).lines().filter(|l| l.contains("an unknown key")) {
-        let place = line.split(": ").nth(1).expect("a key").trim_end_matches("zz");
-        let (_, list) = line.split_once("one of the keys ").expect("a list");
+        let place = line.split(": ").nth(1).expect("the line names a key").trim_end_matches("zz");
+        let (_, list) = line.split_once("one of the keys ").expect("the line lists the keys");
         let list = list.trim_end_matches(", found an unknown key");
         keys.extend(list.split(", ").map(|key| format!("{place}{key}")));
     }
@@ -115,66 +117,76 @@
     keys
 }
 
-/// Returns the keys in a table of the page, below a heading.
+/// Returns the keys listed in the tables of docs/SETTINGS.md below a heading.
 fn documented_keys(heading: &str) -> BTreeSet<String> {
-    let page = fs::read_to_string("docs/SETTINGS.md").expect("the page");
-    let (_, after) = page.split_once(heading).expect("the heading");
-    let part = after.split("\n## ").next().unwrap_or_default();
-    let rows = part.lines().filter_map(|l| l.strip_prefix("| `"));
+    let page = fs::read_to_string("docs/SETTINGS.md").expect("read docs/SETTINGS.md");
+    let (_, below) = page.split_once(heading).expect("the page has the heading");
+    let chapter = below.split("\n## ").next().unwrap_or_default();
+    let rows = chapter.lines().filter_map(|l| l.strip_prefix("| `"));
     rows.filter_map(|row| row.split('`').next()).map(str::to_owned).collect()
 }
 
 #[test]
 fn the_page_lists_every_key() {
     let sections = ["listen", "peers", "platform", "operators", "routing", "limits"];
-    let entry = |path: &Path| EntrySettings::load(path).expect_err("mistakes").to_string();
+    let entry = |path: &Path| {
+        EntrySettings::load(path).expect_err("the settings must be rejected").to_string()
+    };
     assert_eq!(known_keys(&sections, entry), documented_keys("## tackhollow-entry"));
     let sections = ["listen", "platform", "lease"];
-    let control = |path: &Path| ControlSettings::load(path).expect_err("mistakes").to_string();
+    let control = |path: &Path| {
+        ControlSettings::load(path).expect_err("the settings must be rejected").to_string()
+    };
     assert_eq!(known_keys(&sections, control), documented_keys("## tackhollow-control"));
     let sections = ["listen", "platform", "bounds", "capacity"];
-    let gateway = |path: &Path| GatewaySettings::load(path).expect_err("mistakes").to_string();
+    let gateway = |path: &Path| {
+        GatewaySettings::load(path).expect_err("the settings must be rejected").to_string()
+    };
     assert_eq!(known_keys(&sections, gateway), documented_keys("## tackhollow-gateway"));
 }
 
 #[test]
 fn a_gateway_names_every_mistake_with_its_unit() {
-    struct Mistake {
+    struct InvalidSetting {
         text: &'static str,
-        said: &'static str,
+        expected: &'static str,
     }
     let cases = [
-        Mistake {
+        InvalidSetting {
             text: "[bounds]\ngrace_s = 0",
-            said: "bounds.grace_s: expected seconds above zero",
+            expected: "bounds.grace_s: expected seconds above zero",
         },
-        Mistake { text: "[bounds]\ngrace_s = \"8s\"", said: "bounds.grace_s: expected a number" },
-        Mistake {
+        InvalidSetting {
+            text: "[bounds]\ngrace_s = \"8s\"",
+            expected: "bounds.grace_s: expected a number",
+        },
+        InvalidSetting {
             text: "[bounds]\nretry_ratio = -1",
-            said: "bounds.retry_ratio: expected a number",
+            expected: "bounds.retry_ratio: expected a number",
         },
-        Mistake {
+        InvalidSetting {
             text: "[bounds]\nlease_ms = 0.5",
-            said: "bounds.lease_ms: expected milliseconds",
+            expected: "bounds.lease_ms: expected milliseconds",
         },
-        Mistake {
+        InvalidSetting {
             text: "[platform]\nstore = \"x\"",
-            said: "platform.store: expected an IP number",
+            expected: "platform.store: expected an IP number",
         },
-        Mistake {
+        InvalidSetting {
             text: "off = [\"need_peak\", \"sleep\"]",
-            said: "off: expected some of learnt_speed, known_caches",
+            expected: "off: expected some of learnt_speed, known_caches",
         },
-        Mistake {
+        InvalidSetting {
             text: "[capacity]\nfactor = 1",
-            said: "capacity.factor: expected one of the keys",
+            expected: "capacity.factor: expected one of the keys",
         },
     ];
-    let dir = TempDir::new().expect("a folder");
+    let dir = TempDir::new().expect("create a temporary directory");
     let path = dir.path().join("gateway.toml");
     for case in cases {
-        fs::write(&path, case.text).expect("the file is written");
-        let message = GatewaySettings::load(&path).expect_err("a mistake").to_string();
-        assert!(message.contains(case.said), "{}: {message}", case.said);
+        fs::write(&path, case.text).expect("write the settings file");
+        let message =
+            GatewaySettings::load(&path).expect_err("the settings must be rejected").to_string();
+        assert!(message.contains(case.expected), "{}: {message}", case.expected);
     }
 }
