--- a/src/bin/tackhollow-trace/cli.rs
+++ b/src/bin/tackhollow-trace/cli.rs
@@ -1,4 +1,4 @@
-//! Command line of the trace tool.
+//! Command line of `tackhollow-trace`.
 
 use std::{ffi::OsString, path::PathBuf, time::Duration};
 
@@ -21,49 +21,54 @@
   -V, --version     print the version
 ";
 
-/// How long around a request is told of unless the command line says otherwise.
-const AROUND: f64 = 5.0;
+/// Default of `--around`.
+const DEFAULT_AROUND_SECONDS: f64 = 5.0;
 
-/// Why a command line cannot be used.
+/// Errors in the command line.
 #[derive(Debug, Error)]
 pub enum CliError {
-    /// An option is unknown or lacks its value.
+    /// An option is unknown, lacks its value or has one that cannot be parsed.
     #[error("{0}; see --help")]
     Syntax(#[from] lexopt::Error),
-    /// No request was named.
+    /// The request ID is missing.
     #[error("missing REQUEST-ID; see --help")]
     NoRequest,
-    /// The time cannot be used.
+    /// The value of `--around` is negative or not a usable duration.
     #[error("--around: expected seconds from 0 up")]
-    Around,
+    InvalidAround,
 }
 
-/// What to do.
+/// The action that the command line asks for.
 #[derive(Debug)]
 pub enum Args {
     /// Print the help.
     Help,
     /// Print the version.
     Version,
-    /// Tell the story of a request.
+    /// Print the timeline and the cause of a request.
     Trace(Trace),
 }
 
-/// Which request, and where to look.
+/// The request to trace and the logs to read.
 #[derive(Debug)]
 pub struct Trace {
-    /// Identifier of the request.
+    /// Request ID as it stands in the `request` field of log lines.
     pub request: String,
-    /// Logs.
+    /// Log files; standard input is read if there are none.
     pub files: Vec<PathBuf>,
-    /// How long around the request is told of.
+    /// Time before the first and after the last line of the request in which other events are
+    /// shown.
     pub around: Duration,
 }
 
-/// Parses the command line.
+/// Parses the command line, program name included.
+///
+/// # Errors
+///
+/// Returns an error if an option is unknown, a value cannot be parsed or the request ID is missing.
 pub fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Args, CliError> {
     let mut parser = Parser::from_iter(args);
-    let (mut request, mut files, mut around) = (None, Vec::new(), AROUND);
+    let (mut request, mut files, mut around) = (None, Vec::new(), DEFAULT_AROUND_SECONDS);
     while let Some(arg) = parser.next()? {
         match arg {
             Arg::Long("help") | Arg::Short('h') => return Ok(Args::Help),
@@ -75,6 +80,6 @@
         }
     }
     let request = request.ok_or(CliError::NoRequest)?;
-    let around = Duration::try_from_secs_f64(around).or(Err(CliError::Around))?;
+    let around = Duration::try_from_secs_f64(around).or(Err(CliError::InvalidAround))?;
     Ok(Args::Trace(Trace { request, files, around }))
 }
--- a/src/bin/tackhollow-trace/line.rs
+++ b/src/bin/tackhollow-trace/line.rs
@@ -1,21 +1,24 @@
-//! One line of a gateway's log.
+//! Parsing of the gateways' JSON log lines.
 
 use serde_json::{Map, Value};
 
-/// One line of a gateway's log.
+/// A log line of a gateway.
 #[derive(Clone, Debug)]
 pub struct Line {
-    /// When it was written, in milliseconds since 1970.
+    /// Time of writing, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// Process that wrote it.
+    /// Name of the gateway process that wrote the line.
     pub process: String,
-    /// Name of the event.
+    /// Name of the event, which determines the other fields.
     pub event: String,
     fields: Map<String, Value>,
 }
 
 impl Line {
-    /// Parses a line; what stands before its first brace is passed over.
+    /// Parses a line, skipping any prefix before the first brace.
+    ///
+    /// Returns `None` if the rest is not a JSON object with the fields `time_ms`, `process` and
+    /// `event`.
     pub fn parse(text: &str) -> Option<Self> {
         let json = &text[text.find('{')?..];
         let mut fields: Map<String, Value> = serde_json::from_str(json).ok()?;
@@ -25,29 +28,29 @@
         Some(Self { time_ms, process, event, fields })
     }
 
-    /// Returns a field as text; empty if it is absent.
+    /// Returns a field as a string; empty if it is absent or of another type.
     pub fn text(&self, name: &str) -> &str {
         self.fields.get(name).and_then(Value::as_str).unwrap_or_default()
     }
 
-    /// Returns a field as a list of texts; empty if it is absent.
+    /// Returns a field as a list of strings; empty if it is absent or of another type.
     pub fn texts(&self, name: &str) -> Vec<&str> {
         let list = self.fields.get(name).and_then(Value::as_array);
         list.into_iter().flatten().filter_map(Value::as_str).collect()
     }
 
-    /// Returns a field as a number; zero if it is absent.
+    /// Returns a field as a number; zero if it is absent or of another type.
     pub fn number(&self, name: &str) -> f64 {
         self.fields.get(name).and_then(Value::as_f64).unwrap_or_default()
     }
 
-    /// Returns the fields that are not in `without`, as `name=value`.
-    pub fn details(&self, without: &[&str]) -> String {
-        let told = self.fields.iter().filter(|(name, _)| !without.contains(&name.as_str()));
-        let words = told.map(|(name, value)| match value {
+    /// Formats the fields that are not in `excluded` as `name=value`, separated by spaces.
+    pub fn details(&self, excluded: &[&str]) -> String {
+        let shown = self.fields.iter().filter(|(name, _)| !excluded.contains(&name.as_str()));
+        let pairs = shown.map(|(name, value)| match value {
             Value::String(text) => format!("{name}={text}"),
             other => format!("{name}={other}"),
         });
-        words.collect::<Vec<_>>().join(" ")
+        pairs.collect::<Vec<_>>().join(" ")
     }
 }
--- a/src/bin/tackhollow-trace/main.rs
+++ b/src/bin/tackhollow-trace/main.rs
@@ -1,8 +1,8 @@
-//! Tells the story of one request from the logs of gateways.
+//! Prints the timeline of one request, and the cause of its outcome, from the logs of gateways.
 
 mod cli;
 mod line;
-mod story;
+mod timeline;
 
 use std::{
     env, fs,
@@ -15,7 +15,7 @@
 use crate::{
     cli::{Args, HELP},
     line::Line,
-    story::Story,
+    timeline::Timeline,
 };
 
 fn main() -> ExitCode {
@@ -48,9 +48,9 @@
         text += &fs::read_to_string(file).with_context(|| file.display().to_string())?;
     }
     let lines: Vec<Line> = text.lines().filter_map(Line::parse).collect();
-    let Some(story) = Story::of(&args.request, &lines, args.around) else {
+    let Some(timeline) = Timeline::new(&args.request, &lines, args.around) else {
         bail!("{}: no line of {} tells of it", args.request, lines.len());
     };
-    print!("{story}");
+    print!("{timeline}");
     Ok(())
 }
--- a/src/bin/tackhollow-trace/story.rs
+++ b/src/bin/tackhollow-trace/timeline.rs
@@ -1,5 +1,5 @@
-//! The story of a request: its own lines, what the gateways came to believe
-//! meanwhile, and the cause of its end.
+//! The timeline of a request: its own log lines, the state changes that gateways logged around it,
+//! and the cause of its outcome.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,58 +9,65 @@
 
 use crate::line::Line;
 
-/// Events that tell of requests; all others tell of beliefs.
+/// Events about a single request; all others are changes of a gateway's state.
 const REQUEST_EVENTS: [&str; 5] =
     ["attempt", "attempt_failed", "quota_used_up", "not_sent", "answered"];
 
-/// The story of a request.
+/// The log lines that concern a request, ordered by time, and the cause of its outcome.
 #[derive(Debug)]
-pub struct Story<'a> {
-    began_ms: u64,
+pub struct Timeline<'a> {
+    started_ms: u64,
     lines: Vec<&'a Line>,
     cause: String,
 }
 
-impl<'a> Story<'a> {
-    /// Returns the story of a request; `None` if no line tells of it.
-    pub fn of(request: &str, lines: &'a [Line], around: Duration) -> Option<Self> {
+impl<'a> Timeline<'a> {
+    /// Collects the lines of a request, and the state changes logged between `around` before its
+    /// first line and `around` after its last.
+    ///
+    /// Returns `None` if no line has this request ID.
+    pub fn new(request: &str, lines: &'a [Line], around: Duration) -> Option<Self> {
         let own: Vec<&Line> = lines.iter().filter(|l| l.text("request") == request).collect();
-        let began_ms = own.iter().map(|l| l.time_ms).min()?;
+        let started_ms = own.iter().map(|l| l.time_ms).min()?;
         let ended_ms = own.iter().map(|l| l.time_ms).max()?;
         let around_ms = around.as_millis() as u64;
-        let span = began_ms.saturating_sub(around_ms)..=ended_ms + around_ms;
+        let span = started_ms.saturating_sub(around_ms)..=ended_ms + around_ms;
         let processes: BTreeSet<&str> = own.iter().map(|l| l.process.as_str()).collect();
         let upstreams: BTreeSet<&str> = own.iter().map(|l| l.text("upstream")).collect();
-        let matters = |l: &&Line| {
-            let belief = !REQUEST_EVENTS.contains(&l.event.as_str());
-            let of_upstream = matches!(l.event.as_str(), "upstream" | "upstream_ended");
-            let about = !of_upstream || upstreams.contains(l.text("upstream"));
-            // What ended an upstream may have been sent by another process.
-            let told_by = processes.contains(l.process.as_str())
+        let is_relevant = |l: &&Line| {
+            let is_state_change = !REQUEST_EVENTS.contains(&l.event.as_str());
+            let is_upstream_event = matches!(l.event.as_str(), "upstream" | "upstream_ended");
+            let concerns_request = !is_upstream_event || upstreams.contains(l.text("upstream"));
+            // The request under which an upstream ended may have been sent by another process.
+            let from_relevant_process = processes.contains(l.process.as_str())
                 || matches!(l.event.as_str(), "upstream_ended" | "verdict");
-            belief && about && told_by && span.contains(&l.time_ms)
+            is_state_change
+                && concerns_request
+                && from_relevant_process
+                && span.contains(&l.time_ms)
         };
-        let beliefs: Vec<&Line> = lines.iter().filter(matters).collect();
-        let cause = cause(&own, &beliefs);
-        let mut told: Vec<&Line> = own.into_iter().chain(beliefs).collect();
-        told.sort_by_key(|l| l.time_ms);
-        Some(Self { began_ms, lines: told, cause })
+        let state_changes: Vec<&Line> = lines.iter().filter(is_relevant).collect();
+        let cause = describe_cause(&own, &state_changes);
+        let mut shown: Vec<&Line> = own.into_iter().chain(state_changes).collect();
+        shown.sort_by_key(|l| l.time_ms);
+        Some(Self { started_ms, lines: shown, cause })
     }
 }
 
-impl Display for Story<'_> {
+impl Display for Timeline<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for line in &self.lines {
-            let at = line.time_ms as f64 - self.began_ms as f64;
+            let offset_ms = line.time_ms as f64 - self.started_ms as f64;
             let details = line.details(&["request"]);
-            writeln!(f, "{at:+8.0} ms  {:<24} {:<20} {details}", line.process, line.event)?;
+            writeln!(f, "{offset_ms:+8.0} ms  {:<24} {:<20} {details}", line.process, line.event)?;
         }
         writeln!(f, "cause: {}", self.cause)
     }
 }
 
-/// Names the cause from the last line of a request and what was known then.
-fn cause(own: &[&Line], beliefs: &[&Line]) -> String {
+/// Describes the cause of a request's outcome, from its last `answered` line and the state changes
+/// around it.
+fn describe_cause(own: &[&Line], state_changes: &[&Line]) -> String {
     let Some(end) = own.iter().rev().find(|l| l.event == "answered") else {
         return "it is not over, or its last line was left out".to_owned();
     };
@@ -68,9 +75,9 @@
     let upstream = attempt.map_or("", |a| a.text("upstream"));
     let outcome = end.text("outcome");
     match outcome {
-        "completed" => late(end, attempt.copied()),
-        "quota_used_up" => quota_used_up(own),
-        "crashes_upstreams" | "copy_runs" => not_sent(own),
+        "completed" => describe_completed(end, attempt.copied()),
+        "quota_used_up" => describe_quota_used_up(own),
+        "crashes_upstreams" | "copy_runs" => describe_not_sent(own),
         "unknown_key" | "no_route" => {
             let version = end.number("configuration");
             let age = end.number("configuration_age_ms");
@@ -88,7 +95,7 @@
         "upstream_failure" => format!("upstream {upstream} answered with a failure of its own"),
         "caller_left" => "the caller left before the answer ended".to_owned(),
         "broken" | "broken_off_midway" => {
-            format!("upstream {upstream} broke off; {}", state_of(upstream, beliefs))
+            format!("upstream {upstream} broke off; {}", describe_upstream(upstream, state_changes))
         }
         "time_over" | "time_over_midway" => {
             let predicted = attempt.map_or(0.0, |a| a.number("predicted_ms"));
@@ -96,26 +103,27 @@
             format!(
                 "upstream {upstream} did not end within the time: a first token was predicted \
                  after {predicted} ms with {running} requests there; {}",
-                state_of(upstream, beliefs)
+                describe_upstream(upstream, state_changes)
             )
         }
         "no_room" => {
-            let refused = own.iter().filter(|l| l.event == "attempt_failed");
-            let causes: BTreeSet<&str> = refused.map(|l| l.text("cause")).collect();
+            let failed = own.iter().filter(|l| l.event == "attempt_failed");
+            let causes: BTreeSet<&str> = failed.map(|l| l.text("cause")).collect();
             let causes: Vec<&str> = causes.into_iter().collect();
             match causes.is_empty() {
                 true => "no upstream of the service was known to take work".to_owned(),
                 false => format!("no upstream took it: {}; it has not run", causes.join(", ")),
             }
         }
-        "held_off" => held_off(beliefs),
+        "held_off" => describe_held_off(state_changes),
         other => other.to_owned(),
     }
 }
 
-/// Tells which upstreams had named limits or asked for rest.
-fn held_off(beliefs: &[&Line]) -> String {
-    let asked = beliefs.iter().filter_map(|line| match line.event.as_str() {
+/// Describes a request that every upstream held off: which upstreams set a rate limit or asked for
+/// a pause.
+fn describe_held_off(state_changes: &[&Line]) -> String {
+    let signals = state_changes.iter().filter_map(|line| match line.event.as_str() {
         "rest" => {
             let (upstream, for_ms) = (line.text("upstream"), line.number("for_ms"));
             Some((upstream, format!("{upstream} asked for rest of {for_ms} ms")))
@@ -126,16 +134,17 @@
         }
         _ => None,
     });
-    // The newest word of each.
-    let asked: BTreeMap<&str, String> = asked.collect();
-    let asked: Vec<String> = asked.into_values().collect();
-    let asked =
-        if asked.is_empty() { "said before these lines".to_owned() } else { asked.join(", ") };
-    format!("every upstream of the service holds off ({asked}); it has not run")
+    // Only the latest signal of each upstream.
+    let signals: BTreeMap<&str, String> = signals.collect();
+    let signals: Vec<String> = signals.into_values().collect();
+    let signals =
+        if signals.is_empty() { "said before these lines".to_owned() } else { signals.join(", ") };
+    format!("every upstream of the service holds off ({signals}); it has not run")
 }
 
-/// Tells whose quota is used up, and which part of it was counted on.
-fn quota_used_up(own: &[&Line]) -> String {
+/// Describes a rejection by quota: the customer, its rate, and how many of the gateways that share
+/// the quota were heard.
+fn describe_quota_used_up(own: &[&Line]) -> String {
     let Some(line) = own.iter().rev().find(|l| l.event == "quota_used_up") else {
         return "the customer has used up its quota; it has not run".to_owned();
     };
@@ -147,19 +156,20 @@
     )
 }
 
-/// Tells what delayed an answer that was whole.
-fn late(end: &Line, attempt: Option<&Line>) -> String {
-    let (first, took) = (end.number("first_ms"), end.number("took_ms"));
+/// Describes a completed request: its predicted and actual times and the number of attempts.
+fn describe_completed(end: &Line, attempt: Option<&Line>) -> String {
+    let (first_ms, took_ms) = (end.number("first_ms"), end.number("took_ms"));
     let predicted = attempt.map_or(0.0, |a| a.number("predicted_ms"));
     let attempts = attempt.map_or(0.0, |a| a.number("attempt"));
     format!(
-        "answered whole: first byte after {first} ms (predicted {predicted} ms), end after \
-         {took} ms, {attempts} attempt(s)"
+        "answered whole: first byte after {first_ms} ms (predicted {predicted} ms), end after \
+         {took_ms} ms, {attempts} attempt(s)"
     )
 }
 
-/// Tells which request was not sent, and why.
-fn not_sent(own: &[&Line]) -> String {
+/// Describes a request that was not sent because upstreams had ended while running one with the
+/// same digest.
+fn describe_not_sent(own: &[&Line]) -> String {
     let Some(line) = own.iter().rev().find(|l| l.event == "not_sent") else {
         return "upstreams ended under the request; it has not run".to_owned();
     };
@@ -176,26 +186,27 @@
     }
 }
 
-/// Names the request that is held for the end of an upstream, if one is.
-fn culprit(upstream: &str, beliefs: &[&Line]) -> Option<String> {
+/// Returns the digest of a quarantined request that was running on an upstream when it ended.
+fn quarantined_digest(upstream: &str, state_changes: &[&Line]) -> Option<String> {
     let ended = |l: &&&Line| l.event == "upstream_ended" && l.text("upstream") == upstream;
-    let under: Vec<&str> = beliefs.iter().filter(ended).flat_map(|l| l.texts("under")).collect();
-    let held = |l: &&&Line| l.event == "verdict" && l.text("state") == "quarantined";
-    let mut verdicts = beliefs.iter().filter(held).map(|l| l.text("digest"));
-    verdicts.find(|digest| under.contains(digest)).map(str::to_owned)
+    let running: Vec<&str> =
+        state_changes.iter().filter(ended).flat_map(|l| l.texts("under")).collect();
+    let quarantined = |l: &&&Line| l.event == "verdict" && l.text("state") == "quarantined";
+    let mut verdicts = state_changes.iter().filter(quarantined).map(|l| l.text("digest"));
+    verdicts.find(|digest| running.contains(digest)).map(str::to_owned)
 }
 
-/// Tells what was known of an upstream around the end.
-fn state_of(upstream: &str, beliefs: &[&Line]) -> String {
-    if let Some(digest) = culprit(upstream, beliefs) {
+/// Describes what gateways had logged about an upstream around the end of the request.
+fn describe_upstream(upstream: &str, state_changes: &[&Line]) -> String {
+    if let Some(digest) = quarantined_digest(upstream, state_changes) {
         return format!("it ended under request {digest}, which is quarantined");
     }
     let ended = |l: &&Line| l.event == "upstream_ended" && l.text("upstream") == upstream;
-    if beliefs.iter().any(ended) {
+    if state_changes.iter().any(ended) {
         return "it ended: nothing listens at its address any more".to_owned();
     }
     let about = |l: &&&Line| l.event == "upstream" && l.text("upstream") == upstream;
-    match beliefs.iter().rfind(about) {
+    match state_changes.iter().rfind(about) {
         Some(line) => format!("the platform's store said {}", line.text("state")),
         None => "the platform's store said nothing of it then".to_owned(),
     }
--- a/src/bin/tackhollow/api.rs
+++ b/src/bin/tackhollow/api.rs
@@ -1,4 +1,4 @@
-//! Calls of the operators' API.
+//! Client of the operators' HTTP API.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -6,30 +6,31 @@
 use tackhollow::edge::http_client::{HttpClient, HttpError};
 use thiserror::Error;
 
-/// Longest silence of an entry host.
-const SILENCE: Duration = Duration::from_secs(15);
+/// Time without a byte from an entry host after which a call fails.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Why a call did not succeed.
+/// Errors of an API call.
 #[derive(Debug, Error)]
 pub enum ApiError {
-    /// No entry host answered.
+    /// No request could be sent to any entry host.
     #[error("no entry host answered ({0}); try another with --entry")]
     Unreachable(String),
-    /// Somebody else changed the item.
+    /// The item is no longer at the expected version: another change was accepted first.
     #[error(
         "{detail}\nin force now: {current}\nlook at it with `tackhollow get`, merge, \
          and apply again with --expect {version}"
     )]
     Conflict { detail: String, current: Value, version: u64 },
-    /// The system refused.
+    /// An entry host answered with another status than 200 or 409. Status 0: the connection failed
+    /// after the request was sent, so that the call may have taken effect.
     #[error("refused with status {status}: {detail}")]
     Refused { status: u16, detail: String },
-    /// The answer cannot be read.
-    #[error("the answer cannot be read: {0}")]
-    Body(String),
+    /// The body of the answer is not valid JSON.
+    #[error("entry host answered with invalid JSON: {0}")]
+    InvalidBody(String),
 }
 
-/// A client of some entry hosts.
+/// A client of the operators' API on a list of entry hosts.
 pub struct Api {
     entries: Vec<SocketAddr>,
     authorization: String,
@@ -38,39 +39,52 @@
 
 impl Api {
     pub fn new(entries: Vec<SocketAddr>, key: &str) -> Self {
-        let http = HttpClient::fresh(SILENCE);
+        let http = HttpClient::fresh(SILENCE_TIMEOUT);
         Self { entries, authorization: format!("Bearer {key}"), http }
     }
 
-    /// Reads from the first entry host that answers.
+    /// Sends a GET request to the first entry host that can be reached.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no entry host can be reached, or the one that was reached does not answer
+    /// with status 200 and JSON.
     pub fn get(&self, path: &str) -> Result<Value, ApiError> {
-        let mut last = "none was named".to_owned();
+        let mut last_error = "none was named".to_owned();
         for entry in &self.entries {
             match self.call("GET", *entry, path, b"") {
-                Err(ApiError::Unreachable(e)) => last = e,
+                Err(ApiError::Unreachable(e)) => last_error = e,
                 other => return other,
             }
         }
-        Err(ApiError::Unreachable(last))
+        Err(ApiError::Unreachable(last_error))
     }
 
-    /// Reads from one entry host.
+    /// Sends a GET request to this entry host.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if it cannot be reached or does not answer with status 200 and JSON.
     pub fn get_from(&self, entry: SocketAddr, path: &str) -> Result<Value, ApiError> {
         self.call("GET", entry, path, b"")
     }
 
-    /// Sends a change to the first entry host that can be connected to. A
-    /// change that was sent is not sent again elsewhere.
+    /// Sends a change to the first entry host that can be reached. It is not retried on another one
+    /// once any byte was sent, as it may have been accepted.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no entry host can be reached, or the change was not accepted.
     pub fn change(&self, body: &Value) -> Result<Value, ApiError> {
         let body = body.to_string();
-        let mut last = "none was named".to_owned();
+        let mut last_error = "none was named".to_owned();
         for entry in &self.entries {
             match self.call("POST", *entry, "/v1/admin/changes", body.as_bytes()) {
-                Err(ApiError::Unreachable(e)) => last = e,
+                Err(ApiError::Unreachable(e)) => last_error = e,
                 other => return other,
             }
         }
-        Err(ApiError::Unreachable(last))
+        Err(ApiError::Unreachable(last_error))
     }
 
     fn call(
@@ -90,8 +104,8 @@
                 detail: format!("{e}; it may have been accepted: see `tackhollow history`"),
             },
         })?;
-        let parsed: Value =
-            serde_json::from_slice(&answer.body).map_err(|e| ApiError::Body(e.to_string()))?;
+        let parsed: Value = serde_json::from_slice(&answer.body)
+            .map_err(|e| ApiError::InvalidBody(e.to_string()))?;
         match answer.status {
             200 => Ok(parsed),
             409 => Err(conflict(&parsed)),
--- a/src/bin/tackhollow/cli.rs
+++ b/src/bin/tackhollow/cli.rs
@@ -1,4 +1,4 @@
-//! Command line of the operators' client.
+//! Command line of `tackhollow`, the operators' client.
 
 use std::{env, ffi::OsString, fs, net::SocketAddr, path::PathBuf, time::Duration};
 
@@ -43,24 +43,24 @@
 Exit status: 0 done, 1 refused, 2 usage, 3 no entry host reached, 4 lost a race.
 ";
 
-/// Why a command line cannot be used.
+/// Errors in the command line.
 #[derive(Debug, Error)]
 pub enum CliError {
-    /// An option is unknown or lacks its value.
+    /// An option is unknown, lacks its value or has one that cannot be parsed.
     #[error("{0}; see --help")]
     Syntax(#[from] lexopt::Error),
-    /// Something that must be there is missing.
+    /// A required argument, option or environment variable is missing.
     #[error("missing {0}; see --help")]
     Missing(&'static str),
-    /// A value cannot be used.
+    /// The value of an option is not in the expected form.
     #[error("{option}: expected {expected}")]
-    Value { option: &'static str, expected: &'static str },
-    /// The key's file cannot be read.
+    InvalidValue { option: &'static str, expected: &'static str },
+    /// The file with the operator's key cannot be read.
     #[error("--key-file: {0}")]
     KeyFile(std::io::Error),
 }
 
-/// What to do.
+/// A command with its arguments.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     Help,
@@ -97,21 +97,24 @@
         timeout: Duration,
     },
     Entries,
-    /// The gateways at these addresses, which need no entry host and no key.
+    /// Show the gateways at these addresses; needs neither an entry host nor a key.
     Gateways {
         addresses: Vec<SocketAddr>,
     },
 }
 
-/// Which changes to show.
+/// Selects changes in `history` and `audit`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Filter {
+    /// Version after which accepted changes are shown; 0 for all.
     pub after: u64,
+    /// Item as `KIND/NAME`; `None` for all items.
     pub name: Option<String>,
+    /// Name of the operator; `None` for all operators.
     pub by: Option<String>,
 }
 
-/// Form of the output.
+/// Output format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Output {
     #[default]
@@ -119,22 +122,24 @@
     Json,
 }
 
-/// A command line.
+/// A parsed command line.
 #[derive(Clone, Debug)]
 pub struct Args {
+    /// Entry hosts to ask, in order; empty if the command needs none.
     pub entries: Vec<SocketAddr>,
+    /// The operator's key; empty if the command needs none.
     pub key: String,
     pub output: Output,
     pub command: Command,
 }
 
-/// Options and words as given.
+/// Options and positional arguments before validation.
 #[derive(Default)]
 struct Raw {
     entry: Option<String>,
     key_file: Option<PathBuf>,
     output: Option<String>,
-    words: Vec<String>,
+    positional: Vec<String>,
     dry_run: bool,
     expect: Option<u64>,
     filter: Filter,
@@ -145,9 +150,15 @@
     version: bool,
 }
 
-/// Parses the command line.
+/// Parses the command line, program name included; environment variables stand in for `--entry` and
+/// `--key-file`.
+///
+/// # Errors
+///
+/// Returns an error if an option is unknown, a value is not in the expected form or a required
+/// argument is missing.
 pub fn parse(args: impl IntoIterator<Item = OsString>) -> Result<Args, CliError> {
-    let raw = read(args)?;
+    let raw = parse_options(args)?;
     let command = command(&raw)?;
     let needs_entry =
         !matches!(command, Command::Help | Command::Version | Command::Gateways { .. });
@@ -157,13 +168,13 @@
         None | Some("table") => Output::Table,
         Some("json") => Output::Json,
         Some(_) => {
-            return Err(CliError::Value { option: "--output", expected: "table or json" });
+            return Err(CliError::InvalidValue { option: "--output", expected: "table or json" });
         }
     };
     Ok(Args { entries, key, output, command })
 }
 
-fn read(args: impl IntoIterator<Item = OsString>) -> Result<Raw, CliError> {
+fn parse_options(args: impl IntoIterator<Item = OsString>) -> Result<Raw, CliError> {
     let mut parser = Parser::from_iter(args);
     let mut raw = Raw::default();
     while let Some(arg) = parser.next()? {
@@ -181,7 +192,7 @@
             Arg::Long("reason") => raw.reason = Some(parser.value()?.string()?),
             Arg::Long("in-force") => raw.in_force = Some(parser.value()?.parse()?),
             Arg::Long("timeout") => raw.timeout = Some(parser.value()?.parse()?),
-            Arg::Value(word) => raw.words.push(word.string()?),
+            Arg::Value(value) => raw.positional.push(value.string()?),
             other => return Err(other.unexpected().into()),
         }
     }
@@ -195,30 +206,34 @@
     if raw.version {
         return Ok(Command::Version);
     }
-    let name = raw.words.first().ok_or(CliError::Missing("a command"))?;
-    let word = |what| raw.words.get(1).cloned().ok_or(CliError::Missing(what));
+    let name = raw.positional.first().ok_or(CliError::Missing("a command"))?;
+    let argument = |what| raw.positional.get(1).cloned().ok_or(CliError::Missing(what));
     Ok(match name.as_str() {
-        "apply" => {
-            Command::Apply { file: word("FILE")?.into(), dry_run: raw.dry_run, expect: raw.expect }
-        }
-        "diff" => Command::Diff { file: word("FILE")?.into() },
-        "get" => Command::Get { key: raw.words.get(1).cloned() },
-        "remove" => Command::Remove { key: word("KIND/NAME")? },
+        "apply" => Command::Apply {
+            file: argument("FILE")?.into(),
+            dry_run: raw.dry_run,
+            expect: raw.expect,
+        },
+        "diff" => Command::Diff { file: argument("FILE")?.into() },
+        "get" => Command::Get { key: raw.positional.get(1).cloned() },
+        "remove" => Command::Remove { key: argument("KIND/NAME")? },
         "history" => Command::History(raw.filter.clone()),
         "audit" => Command::Audit(raw.filter.clone()),
         "status" => Command::Status,
-        "explain" => Command::Explain { id: word("REQUEST-ID")? },
+        "explain" => Command::Explain { id: argument("REQUEST-ID")? },
         "drain" => Command::Drain {
-            target: word("TARGET")?,
+            target: argument("TARGET")?,
             reason: raw.reason.clone().unwrap_or_default(),
         },
-        "undrain" => Command::Undrain { target: word("TARGET")? },
+        "undrain" => Command::Undrain { target: argument("TARGET")? },
         "wait" => Command::Wait {
             version: raw.in_force.ok_or(CliError::Missing("--in-force VERSION"))?,
             timeout: Duration::from_secs(raw.timeout.unwrap_or(30)),
         },
         "entries" => Command::Entries,
-        "gateways" => Command::Gateways { addresses: addresses(&word("ADDR")?, "gateways ADDR")? },
+        "gateways" => {
+            Command::Gateways { addresses: parse_addresses(&argument("ADDR")?, "gateways ADDR")? }
+        }
         _ => return Err(CliError::Missing("a known command")),
     })
 }
@@ -226,12 +241,12 @@
 fn entries(raw: &Raw) -> Result<Vec<SocketAddr>, CliError> {
     let text = raw.entry.clone().or_else(|| env::var("TACKHOLLOW_ENTRY").ok());
     let text = text.ok_or(CliError::Missing("--entry ADDR, or TACKHOLLOW_ENTRY"))?;
-    addresses(&text, "--entry")
+    parse_addresses(&text, "--entry")
 }
 
-fn addresses(text: &str, option: &'static str) -> Result<Vec<SocketAddr>, CliError> {
+fn parse_addresses(text: &str, option: &'static str) -> Result<Vec<SocketAddr>, CliError> {
     let parsed: Result<Vec<SocketAddr>, _> = text.split(',').map(|a| a.trim().parse()).collect();
-    parsed.or(Err(CliError::Value { option, expected: "IP numbers with ports" }))
+    parsed.or(Err(CliError::InvalidValue { option, expected: "IP numbers with ports" }))
 }
 
 fn key(raw: &Raw) -> Result<String, CliError> {
--- a/src/bin/tackhollow/commands.rs
+++ b/src/bin/tackhollow/commands.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! The commands; all but `gateways` use the operators' API.
 
 use std::{
     collections::BTreeMap,
@@ -17,13 +17,17 @@
     api::Api,
     cli::{Args, Command, Filter, Output},
     gateways::gateways,
-    output::table,
+    output::print_table,
 };
 
-/// Between looks while waiting.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+/// Interval between polls of the entry hosts in `wait`.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Runs a command.
+/// Runs a command and prints its result.
+///
+/// # Errors
+///
+/// Returns an error if a call fails, a file cannot be used or a condition is not met.
 pub fn run(args: &Args, command: &Command) -> Result<()> {
     let api = Api::new(args.entries.clone(), &args.key);
     let out = args.output;
@@ -50,9 +54,9 @@
 
 fn load(file: &Path) -> Result<Vec<Item>> {
     let text = fs::read_to_string(file).with_context(|| file.display().to_string())?;
-    parse_document(&text).map_err(|mistakes| {
+    parse_document(&text).map_err(|errors| {
         let lines: Vec<String> =
-            mistakes.iter().map(|m| format!("{}: {m}", file.display())).collect();
+            errors.iter().map(|m| format!("{}: {m}", file.display())).collect();
         anyhow!("{}", lines.join("\n"))
     })
 }
@@ -68,25 +72,26 @@
     Ok(())
 }
 
-/// Applies one item against the version that is in force when we look.
+/// Sends a change of one item. It is accepted only if the item is still at version `expect`, or,
+/// without `expect`, at the version that is in force now.
 fn change(api: &Api, out: Output, item: &Item, dry_run: bool, expect: Option<u64>) -> Result<()> {
     let key = item.key();
-    let seen = match expect {
+    let expected = match expect {
         Some(version) => version,
         None => version_of(&in_force(api)?, &key.to_string()),
     };
-    let body = json!({ "key": key, "to": item, "expect": seen, "dry_run": dry_run });
+    let body = json!({ "key": key, "to": item, "expect": expected, "dry_run": dry_run });
     report(out, &key.to_string(), &api.change(&body)?);
     Ok(())
 }
 
 fn remove(api: &Api, out: Output, key: &str) -> Result<()> {
     let (kind, name) = key.split_once('/').context("expected KIND/NAME")?;
-    let seen = version_of(&in_force(api)?, key);
-    if seen == 0 {
+    let version = version_of(&in_force(api)?, key);
+    if version == 0 {
         bail!("{key} is not in force");
     }
-    let body = json!({ "key": { "kind": kind, "name": name }, "to": null, "expect": seen });
+    let body = json!({ "key": { "kind": kind, "name": name }, "to": null, "expect": version });
     report(out, key, &api.change(&body)?);
     Ok(())
 }
@@ -104,13 +109,14 @@
     }
 }
 
-/// Returns the items in force by `KIND/NAME`.
+/// Returns the items in force, keyed by `KIND/NAME`.
 fn in_force(api: &Api) -> Result<BTreeMap<String, Value>> {
     let answer = api.get("/v1/admin/items")?;
     let items = answer["items"].as_array().cloned().unwrap_or_default();
     Ok(items.into_iter().map(|i| (key_text(&i["key"]), i)).collect())
 }
 
+/// Returns the version of an item; 0 if it is not in force.
 fn version_of(items: &BTreeMap<String, Value>, key: &str) -> u64 {
     items.get(key).and_then(|i| i["version"].as_u64()).unwrap_or_default()
 }
@@ -119,6 +125,7 @@
     format!("{}/{}", text(&key["kind"]), text(&key["name"]))
 }
 
+/// Returns the contents of a JSON string, and any other value as JSON.
 fn text(value: &Value) -> String {
     value.as_str().map_or_else(|| value.to_string(), str::to_owned)
 }
@@ -173,7 +180,7 @@
     }
     let rows: Vec<Vec<String>> =
         items.iter().map(|(key, i)| vec![key.clone(), i["version"].to_string()]).collect();
-    table(&["ITEM", "VERSION"], &rows);
+    print_table(&["ITEM", "VERSION"], &rows);
     Ok(())
 }
 
@@ -191,11 +198,11 @@
         return Ok(());
     }
     let rows: Vec<Vec<String>> = changes.iter().map(history_row).collect();
-    table(&["AT (UNIX MS)", "VERSION", "ITEM", "WHAT", "BY", "VIA"], &rows);
+    print_table(&["AT (UNIX MS)", "VERSION", "ITEM", "WHAT", "BY", "VIA"], &rows);
     Ok(())
 }
 
-/// Reads the whole log, page by page.
+/// Reads all accepted changes after a version, page by page.
 fn all_changes(api: &Api, mut after: u64) -> Result<Vec<Value>> {
     let mut all = Vec::new();
     loop {
@@ -223,47 +230,50 @@
     vec![change["at_ms"].to_string(), version, key, what, by, via]
 }
 
-/// Returns the states of every entry host that the named ones know of.
+/// Returns the status of the given entry hosts and of all that are reachable through them, or the
+/// error if one cannot be read.
 fn all_statuses(api: &Api, entries: &[SocketAddr]) -> Vec<(SocketAddr, Result<Value, String>)> {
     let mut pending: Vec<SocketAddr> = entries.to_vec();
-    let mut seen: BTreeMap<SocketAddr, Result<Value, String>> = BTreeMap::new();
+    let mut statuses: BTreeMap<SocketAddr, Result<Value, String>> = BTreeMap::new();
     while let Some(addr) = pending.pop() {
-        if seen.contains_key(&addr) {
+        if statuses.contains_key(&addr) {
             continue;
         }
         let status = api.get_from(addr, "/v1/admin/status").map_err(|e| e.to_string());
         if let Ok(status) = &status {
             pending.extend(known_addresses(status));
         }
-        seen.insert(addr, status);
+        statuses.insert(addr, status);
     }
-    seen.into_iter().collect()
+    statuses.into_iter().collect()
 }
 
+/// Returns the addresses of the members that are not dead and of the contacts in other data centres.
 fn known_addresses(status: &Value) -> Vec<SocketAddr> {
-    let array = |v: &Value| v.as_array().cloned().unwrap_or_default();
+    let elements = |v: &Value| v.as_array().cloned().unwrap_or_default();
     let alive = |m: &Value| m["liveness"] != "dead";
-    let members = array(&status["members"]).into_iter().filter(alive);
+    let members = elements(&status["members"]).into_iter().filter(alive);
     let members = members.map(|m| text(&m["http"]));
-    let contacts = array(&status["data_centres"]).into_iter().flat_map(|d| array(&d["contacts"]));
+    let contacts =
+        elements(&status["data_centres"]).into_iter().flat_map(|d| elements(&d["contacts"]));
     members.chain(contacts.map(|c| text(&c))).filter_map(|a| a.parse().ok()).collect()
 }
 
 fn status(api: &Api, out: Output, entries: &[SocketAddr]) -> Result<()> {
     let statuses = all_statuses(api, entries);
     if statuses.iter().all(|(_, s)| s.is_err()) {
-        let why = statuses.iter().find_map(|(_, s)| s.as_ref().err().cloned());
-        return Err(super::api::ApiError::Unreachable(why.unwrap_or_default()).into());
+        let error = statuses.iter().find_map(|(_, s)| s.as_ref().err().cloned());
+        return Err(super::api::ApiError::Unreachable(error.unwrap_or_default()).into());
     }
     if out == Output::Json {
         let ok: Vec<&Value> = statuses.iter().filter_map(|(_, s)| s.as_ref().ok()).collect();
         println!("{}", json!(ok));
         return Ok(());
     }
-    let troubles = troubles(&statuses);
-    println!("{}", if troubles.is_empty() { "all well" } else { "NOT WELL" });
-    for trouble in &troubles {
-        println!("  {trouble}");
+    let problems = find_problems(&statuses);
+    println!("{}", if problems.is_empty() { "all well" } else { "NOT WELL" });
+    for problem in &problems {
+        println!("  {problem}");
     }
     println!();
     print_entries(&statuses);
@@ -272,39 +282,39 @@
     Ok(())
 }
 
-/// Returns what is not well, in one line each.
-fn troubles(statuses: &[(SocketAddr, Result<Value, String>)]) -> Vec<String> {
-    let mut troubles = Vec::new();
+/// Describes each problem in a line, in the order of the entry hosts.
+fn find_problems(statuses: &[(SocketAddr, Result<Value, String>)]) -> Vec<String> {
+    let mut problems = Vec::new();
     let ok = || statuses.iter().filter_map(|(_, s)| s.as_ref().ok());
     let newest = ok().filter_map(|s| s["config_version"].as_u64()).max().unwrap_or_default();
     for (addr, status) in statuses {
         let Ok(status) = status else {
-            troubles.push(format!("entry host at {addr} does not answer"));
+            problems.push(format!("entry host at {addr} does not answer"));
             continue;
         };
         let id = text(&status["id"]);
         if status["phase"] != "serving" {
-            troubles.push(format!("entry host {id} is {}", text(&status["phase"])));
+            problems.push(format!("entry host {id} is {}", text(&status["phase"])));
         }
         let version = status["config_version"].as_u64().unwrap_or_default();
         if version < newest {
-            troubles.push(format!("entry host {id} has configuration {version}, not {newest}"));
+            problems.push(format!("entry host {id} has configuration {version}, not {newest}"));
         }
         match status["platform_silence_s"].as_u64() {
-            None => troubles.push(format!("entry host {id} has not reached the platform")),
+            None => problems.push(format!("entry host {id} has not reached the platform")),
             Some(s) if s > 15 => {
-                troubles.push(format!("entry host {id}: the platform is silent for {s} s"));
+                problems.push(format!("entry host {id}: the platform is silent for {s} s"));
             }
             Some(_) => {}
         }
         for upstream in status["upstreams"].as_array().into_iter().flatten() {
             if upstream["state"] != "working" {
                 let (u, state) = (text(&upstream["id"]), text(&upstream["state"]));
-                troubles.push(format!("upstream {u} (owner {id}) is {state}"));
+                problems.push(format!("upstream {u} (owner {id}) is {state}"));
             }
         }
     }
-    troubles
+    problems
 }
 
 fn print_entries(statuses: &[(SocketAddr, Result<Value, String>)]) {
@@ -324,7 +334,7 @@
     let mut rows: Vec<Vec<String>> = statuses.iter().filter_map(row).collect();
     rows.sort();
     let heading = ["DATA CENTRE", "ENTRY", "ADDRESS", "PHASE", "CONFIG", "IN PROGRESS", "OWNS"];
-    table(&heading, &rows);
+    print_table(&heading, &rows);
 }
 
 fn print_upstreams(statuses: &[(SocketAddr, Result<Value, String>)]) {
@@ -341,7 +351,7 @@
         }
     }
     rows.sort();
-    table(&["DATA CENTRE", "UPSTREAM", "STATE", "IN USE", "OWNER"], &rows);
+    print_table(&["DATA CENTRE", "UPSTREAM", "STATE", "IN USE", "OWNER"], &rows);
 }
 
 fn explain(api: &Api, out: Output, id: &str) -> Result<()> {
@@ -376,7 +386,7 @@
     version: u64,
     timeout: Duration,
 ) -> Result<()> {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let statuses = all_statuses(api, entries);
         let behind = |s: &Value| s["config_version"].as_u64() < Some(version);
@@ -394,10 +404,10 @@
             }
             return Ok(());
         }
-        if began.elapsed() >= timeout {
+        if started.elapsed() >= timeout {
             bail!("version {version} is not in force on {}", lagging.join(", "));
         }
-        thread::sleep(LOOK_EVERY);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -412,6 +422,6 @@
         .iter()
         .map(|e| vec![text(&e["url"]), text(&e["data_centre"]), text(&e["id"])])
         .collect();
-    table(&["URL", "DATA CENTRE", "ENTRY"], &rows);
+    print_table(&["URL", "DATA CENTRE", "ENTRY"], &rows);
     Ok(())
 }
--- a/src/bin/tackhollow/gateways.rs
+++ b/src/bin/tackhollow/gateways.rs
@@ -1,4 +1,5 @@
-//! What gateways say of themselves and of each other, what is not well first.
+//! The `gateways` command: the status of gateways as reported by themselves and by the others,
+//! problems first.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,12 +12,12 @@
 use serde_json::{Value, json};
 use tackhollow::{edge::http_client::HttpClient, gateway::decide::KNOWLEDGE_OLD_AFTER};
 
-use super::{api::ApiError, cli::Output, output::table};
+use super::{api::ApiError, cli::Output, output::print_table};
 
-/// Longest silence of a gateway.
-const SILENCE: Duration = Duration::from_secs(2);
+/// Time without a byte from a gateway after which a call fails.
+const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What a gateway says of itself.
+/// The status that a gateway reports of itself at `/status`.
 #[derive(Debug, Deserialize)]
 struct Status {
     process: String,
@@ -34,10 +35,10 @@
     signals: Vec<Signal>,
     #[serde(default)]
     rollouts: Vec<Rollout>,
-    others: Vec<Other>,
+    others: Vec<Peer>,
 }
 
-/// What a gateway says that an upstream asks for in its answers.
+/// The limits that an upstream asked for in its answers, as known to a gateway.
 #[derive(Clone, Debug, Deserialize)]
 struct Signal {
     upstream: String,
@@ -47,8 +48,8 @@
 }
 
 impl Signal {
-    /// Returns what it asks for, the strongest first.
-    fn asks(&self) -> String {
+    /// Describes what the upstream asks for, the most restrictive first.
+    fn describe(&self) -> String {
         let leaving = self.leaving.then(|| "said that it leaves".to_owned());
         let rest = (self.rest_ms > 0).then(|| format!("rests for {} ms", self.rest_ms));
         let limit = self.limit.map(|rate| format!("takes {rate} requests a second from all"));
@@ -57,7 +58,7 @@
     }
 }
 
-/// What a gateway says of a roll-out.
+/// A roll-out as known to a gateway.
 #[derive(Clone, Debug, Deserialize)]
 struct Rollout {
     service: String,
@@ -71,9 +72,9 @@
     duration_ms: u64,
 }
 
-/// What a gateway says of another one.
+/// Another gateway, as known from its heartbeats.
 #[derive(Debug, Deserialize)]
-struct Other {
+struct Peer {
     process: String,
     phase: String,
     configuration: u64,
@@ -82,65 +83,71 @@
     silent: bool,
 }
 
-/// Asks the gateways at these addresses.
+/// Prints the status of the gateways at these addresses.
+///
+/// # Errors
+///
+/// Returns an error if no gateway answers.
 pub fn gateways(addresses: &[SocketAddr], out: Output) -> Result<()> {
-    let http = HttpClient::fresh(SILENCE);
+    let http = HttpClient::fresh(SILENCE_TIMEOUT);
     let answers: Vec<(SocketAddr, Result<Value, String>)> =
-        addresses.iter().map(|a| (*a, ask(&http, *a))).collect();
+        addresses.iter().map(|a| (*a, fetch_status(&http, *a))).collect();
     let bodies = || answers.iter().filter_map(|(_, answer)| answer.as_ref().ok());
     if bodies().next().is_none() {
-        let why = answers.iter().find_map(|(_, a)| a.as_ref().err().cloned());
-        return Err(ApiError::Unreachable(why.unwrap_or_default()).into());
+        let error = answers.iter().find_map(|(_, a)| a.as_ref().err().cloned());
+        return Err(ApiError::Unreachable(error.unwrap_or_default()).into());
     }
     if out == Output::Json {
         println!("{}", json!(bodies().collect::<Vec<_>>()));
         return Ok(());
     }
-    let mut troubles = Vec::new();
+    let mut problems = Vec::new();
     let mut statuses = Vec::new();
     for (address, answer) in &answers {
         match answer.as_ref().map(|body| serde_json::from_value(body.clone())) {
             Ok(Ok(status)) => statuses.push(status),
-            Ok(Err(e)) => troubles.push(format!("{address} says what cannot be read: {e}")),
-            Err(e) => troubles.push(format!("the gateway at {address} does not answer: {e}")),
+            Ok(Err(e)) => problems.push(format!("{address} says what cannot be read: {e}")),
+            Err(e) => problems.push(format!("the gateway at {address} does not answer: {e}")),
         }
     }
-    troubles.extend(troubles_of(&statuses));
-    println!("{}", if troubles.is_empty() { "all well" } else { "NOT WELL" });
-    troubles.iter().for_each(|trouble| println!("  {trouble}"));
+    problems.extend(find_problems(&statuses));
+    println!("{}", if problems.is_empty() { "all well" } else { "NOT WELL" });
+    problems.iter().for_each(|problem| println!("  {problem}"));
     println!();
     print_statuses(&statuses);
     print_rollouts(&statuses);
     Ok(())
 }
 
-fn ask(http: &HttpClient, address: SocketAddr) -> Result<Value, String> {
+fn fetch_status(http: &HttpClient, address: SocketAddr) -> Result<Value, String> {
     let url = format!("http://{address}/status");
     let answer = http.call("GET", &url, &[], b"").map_err(|e| e.to_string())?;
     serde_json::from_slice(&answer.body).map_err(|e| e.to_string())
 }
 
-/// Returns what is not well, in one line each.
-fn troubles_of(statuses: &[Status]) -> Vec<String> {
-    let heard = || statuses.iter().flat_map(|s| &s.others);
+/// Describes each problem in a line, sorted and without duplicates. A gateway that did not report
+/// its own status is judged by what the others heard of it.
+fn find_problems(statuses: &[Status]) -> Vec<String> {
+    let peers = || statuses.iter().flat_map(|s| &s.others);
     let versions = statuses.iter().map(|s| s.configuration);
-    let newest = versions.chain(heard().map(|o| o.configuration)).max().unwrap_or_default();
-    let mut troubles: BTreeSet<String> =
-        statuses.iter().flat_map(|status| own_troubles(status, newest)).collect();
-    let asked: BTreeSet<&str> = statuses.iter().map(|s| s.process.as_str()).collect();
-    for other in heard().filter(|o| !asked.contains(o.process.as_str())) {
-        troubles.extend(other_troubles(other, newest));
+    let newest = versions.chain(peers().map(|o| o.configuration)).max().unwrap_or_default();
+    let mut problems: BTreeSet<String> =
+        statuses.iter().flat_map(|status| own_problems(status, newest)).collect();
+    let reporting: BTreeSet<&str> = statuses.iter().map(|s| s.process.as_str()).collect();
+    for peer in peers().filter(|o| !reporting.contains(o.process.as_str())) {
+        problems.extend(peer_problems(peer, newest));
     }
-    let holds = statuses.iter().any(|s| s.lease_fence > 0) || heard().any(|o| o.holds_lease);
-    if !holds {
-        troubles.insert("nobody holds the lease: no usage is reported, no engine ordered".into());
+    let lease_is_held =
+        statuses.iter().any(|s| s.lease_fence > 0) || peers().any(|o| o.holds_lease);
+    if !lease_is_held {
+        problems.insert("nobody holds the lease: no usage is reported, no engine ordered".into());
     }
-    troubles.into_iter().collect()
+    problems.into_iter().collect()
 }
 
-fn own_troubles(s: &Status, newest: u64) -> Vec<String> {
-    let mut troubles = Vec::new();
-    let mut note = |trouble: String| troubles.push(format!("{}: {trouble}", s.process));
+fn own_problems(s: &Status, newest: u64) -> Vec<String> {
+    let mut problems = Vec::new();
+    let mut note = |problem: String| problems.push(format!("{}: {problem}", s.process));
     if !s.ready {
         note(format!("not ready, {}", s.phase));
     }
@@ -167,16 +174,16 @@
     for r in s.rollouts.iter().filter(|r| r.is_late()) {
         note(format!("the roll-out of {} to {} is late: {}", r.service, r.destination, r.doubt));
     }
-    s.signals.iter().for_each(|signal| note(signal.asks()));
+    s.signals.iter().for_each(|signal| note(signal.describe()));
     if s.quarantined > 0 {
         note(format!("{} request(s) quarantined, see /quarantine", s.quarantined));
     }
-    troubles
+    problems
 }
 
-fn other_troubles(o: &Other, newest: u64) -> Vec<String> {
-    let mut troubles = Vec::new();
-    let mut note = |trouble: String| troubles.push(format!("{}: {trouble}", o.process));
+fn peer_problems(o: &Peer, newest: u64) -> Vec<String> {
+    let mut problems = Vec::new();
+    let mut note = |problem: String| problems.push(format!("{}: {problem}", o.process));
     if o.silent {
         note("is not heard".to_owned());
     }
@@ -189,7 +196,7 @@
     if !o.store_answers {
         note("the store does not answer it".to_owned());
     }
-    troubles
+    problems
 }
 
 fn print_statuses(statuses: &[Status]) {
@@ -221,26 +228,27 @@
         "IN PROGRESS",
         "HEARS",
     ];
-    table(&heading, &rows);
+    print_table(&heading, &rows);
 }
 
-/// Share of its time after which a roll-out that has not ended is late.
-const LATE_AFTER: f64 = 0.9;
+/// Fraction of its planned duration after which a roll-out that has not ended counts as late.
+const LATE_FRACTION: f64 = 0.9;
 
 impl Rollout {
     fn is_late(&self) -> bool {
         let running = self.state == "trying" || self.state == "moving";
-        running && self.age_ms as f64 >= LATE_AFTER * self.duration_ms as f64
+        running && self.age_ms as f64 >= LATE_FRACTION * self.duration_ms as f64
     }
 }
 
-/// Prints the roll-outs as the gateway knows them that has heard of most requests.
+/// Prints the roll-out of each service, as reported by the gateway that has counted most requests
+/// for it.
 fn print_rollouts(statuses: &[Status]) {
     let mut known: BTreeMap<&str, &Rollout> = BTreeMap::new();
     for rollout in statuses.iter().flat_map(|s| &s.rollouts) {
-        let best = known.entry(&rollout.service).or_insert(rollout);
-        if rollout.arrived > best.arrived {
-            *best = rollout;
+        let most_complete = known.entry(&rollout.service).or_insert(rollout);
+        if rollout.arrived > most_complete.arrived {
+            *most_complete = rollout;
         }
     }
     if known.is_empty() {
@@ -260,5 +268,8 @@
     };
     let rows: Vec<Vec<String>> = known.values().map(row).collect();
     println!();
-    table(&["ROLL-OUT", "TO", "STATE", "SHARE", "REQUESTS", "IT GOT", "TIME", "DOUBT"], &rows);
+    print_table(
+        &["ROLL-OUT", "TO", "STATE", "SHARE", "REQUESTS", "IT GOT", "TIME", "DOUBT"],
+        &rows,
+    );
 }
--- a/src/bin/tackhollow/main.rs
+++ b/src/bin/tackhollow/main.rs
@@ -1,4 +1,4 @@
-//! The operators' client.
+//! `tackhollow`, the operators' client.
 
 mod api;
 mod cli;
@@ -13,13 +13,13 @@
     cli::{Command, HELP},
 };
 
-/// Exit status where the system refused or a condition did not come to hold.
+/// Exit status if the request was refused or a condition was not met in time.
 const REFUSED: u8 = 1;
-/// Exit status of a command line that cannot be used.
+/// Exit status of an invalid command line.
 const USAGE: u8 = 2;
-/// Exit status where no entry host could be reached.
+/// Exit status if no entry host or gateway could be reached.
 const UNREACHABLE: u8 = 3;
-/// Exit status of a lost race.
+/// Exit status if another change to the item was accepted first.
 const CONFLICT: u8 = 4;
 
 fn main() -> ExitCode {
@@ -47,7 +47,7 @@
     let code = match error.downcast_ref::<ApiError>() {
         Some(ApiError::Unreachable(_)) => UNREACHABLE,
         Some(ApiError::Conflict { .. }) => CONFLICT,
-        Some(ApiError::Refused { .. } | ApiError::Body(_)) | None => REFUSED,
+        Some(ApiError::Refused { .. } | ApiError::InvalidBody(_)) | None => REFUSED,
     };
     ExitCode::from(code)
 }
--- a/src/bin/tackhollow/output.rs
+++ b/src/bin/tackhollow/output.rs
@@ -1,7 +1,7 @@
-//! Tables for people.
+//! Output as plain-text tables.
 
-/// Prints rows in aligned columns under a heading.
-pub fn table(heading: &[&str], rows: &[Vec<String>]) {
+/// Prints rows in left-aligned columns, two spaces apart, under a heading.
+pub fn print_table(heading: &[&str], rows: &[Vec<String>]) {
     let mut widths: Vec<usize> = heading.iter().map(|h| h.len()).collect();
     for row in rows {
         for (width, cell) in widths.iter_mut().zip(row) {
