--- a/tests/gateway_soak.rs
+++ b/tests/gateway_soak.rs
@@ -1,8 +1,9 @@
-//! A randomized soak: real processes before the emulated platform, faults from
-//! outside, and the promises checked from what callers and upstreams see.
+//! A randomized soak test: real gateway processes in front of the emulated platform,
+//! with faults injected from outside. The guarantees are checked from what callers
+//! and upstreams observe.
 //!
-//! `scripts/soak-gateway` plays more seeds; those that ever failed stay in
-//! [`CASES`] with their cause.
+//! `scripts/soak-gateway` runs more seeds; seeds that ever failed stay in [`CASES`]
+//! with the cause of the failure.
 
 mod support;
 
@@ -29,167 +30,169 @@
     time::{Duration, Instant},
 };
 
-use callers::{Callers, HostileCaller, Kind, Sent};
+use callers::{Callers, CrashingCaller, Kind, SentRequest};
 use faults::Faults;
 use hyper::{HeaderMap, StatusCode, header::HeaderValue};
 use proxy::Proxy;
 use serde_json::{Value, json};
-use signals::{Asked, Disturbed, Spell, ignored_signals};
+use signals::{Disturbances, SignalPeriod, UpstreamSignal, ignored_signals};
 use support::gateways::{Answer, Site};
 
-/// Gateways, engines and plain upstreams of a soak.
-const SIZES: (usize, usize, usize) = (4, 3, 2);
-/// Callers at work at once.
+/// Number of gateways, model engines and plain upstreams in a soak run.
+const GATEWAYS_ENGINES_PLAIN: (usize, usize, usize) = (4, 3, 2);
+/// Number of concurrent callers.
 const CALLERS: u64 = 12;
 
-/// Generous bound on the time until a gateway serves again.
+/// Time within which every gateway must serve again; generous, so that only a
+/// fault exceeds it.
 const RECOVERY_BOUND: Duration = Duration::from_secs(60);
-/// Lines of a gateway's log that a failure shows.
-const LAST_LINES: usize = 25;
+/// Number of trailing log lines of a gateway that a failure message includes.
+const LOG_TAIL_LINES: usize = 25;
 
-/// A seed that is played each time.
+/// A seed that every test run includes.
 struct Case {
     seed: u64,
-    why: &'static str,
-    /// Whether upstreams start again under their ids.
+    description: &'static str,
+    /// Whether upstreams restart under the same id.
     restarts: bool,
-    /// Whether a caller sends requests that crash upstreams.
+    /// Whether a caller sends requests that crash upstreams, and how upstreams are reached.
     crashing: Crashing,
-    /// Whether the store falls silent.
-    silences: bool,
-    /// Whether upstreams name limits, leave and ask for rest in their answers.
+    /// Whether the store stops answering for a while.
+    store_stalls: bool,
+    /// Whether upstreams announce rate limits, leaving and cooldowns in their responses.
     signals: bool,
 }
 
-/// Whether a caller sends requests that crash upstreams.
+/// Whether a caller sends requests that crash upstreams, and how upstreams are reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Crashing {
-    /// None does.
+    /// No caller does.
     No,
-    /// One does, and upstreams are reached directly.
+    /// One caller does, and gateways connect to upstreams directly.
     Direct,
-    /// One does, and proxies hide the ends of upstreams: they show by new starts only.
+    /// One caller does, and gateways connect through proxies that hide a crash: it shows only
+    /// when the upstream starts again.
     Hidden,
 }
 
 const CASES: [Case; 11] = [
     Case {
         seed: 1,
-        why: "a short run",
+        description: "a short run",
         restarts: false,
         crashing: Crashing::No,
-        silences: false,
+        store_stalls: false,
         signals: false,
     },
     Case {
         seed: 2002,
-        why: "a signal right after a start ended the process",
+        description: "a signal right after the start terminated the process",
         restarts: false,
         crashing: Crashing::No,
-        silences: false,
+        store_stalls: false,
         signals: false,
     },
     Case {
         seed: 3,
-        why: "upstreams that start again",
+        description: "upstreams restart under the same id",
         restarts: true,
         crashing: Crashing::No,
-        silences: false,
+        store_stalls: false,
         signals: false,
     },
     Case {
         seed: 20_263_207,
-        why: "what all ask for was held",
+        description: "requests that all callers send were quarantined",
         restarts: true,
         crashing: Crashing::Hidden,
-        silences: false,
+        store_stalls: false,
         signals: false,
     },
     Case {
         seed: 20_262_212,
-        why: "breaks before a new start counted as the upstream's end",
+        description: "connection breaks before a restart were counted as a crash of the upstream",
         restarts: true,
         crashing: Crashing::Hidden,
-        silences: false,
+        store_stalls: false,
         signals: false,
     },
     Case {
         seed: 4_120_101,
-        why: "all engines ended at once, and what all ask for was refused for an hour",
+        description: "all engines crashed at once, and requests that all callers send were refused for an hour",
         restarts: true,
         crashing: Crashing::Direct,
-        silences: false,
+        store_stalls: false,
         signals: false,
     },
     Case {
         seed: 4_120_302,
-        why: "the same, with more ends by themselves",
+        description: "the same, with more crashes that no request caused",
         restarts: true,
         crashing: Crashing::Direct,
-        silences: false,
+        store_stalls: false,
         signals: false,
     },
     Case {
         seed: 4,
-        why: "requests that crash upstreams",
+        description: "requests that crash upstreams",
         restarts: true,
         crashing: Crashing::Direct,
-        silences: false,
+        store_stalls: false,
         signals: false,
     },
     Case {
         seed: 5,
-        why: "a store that falls silent",
+        description: "the store stops answering",
         restarts: true,
         crashing: Crashing::No,
-        silences: true,
+        store_stalls: true,
         signals: false,
     },
     Case {
         seed: 38,
-        why: "upstreams that say what they want",
+        description: "upstreams announce limits, leaving and cooldowns",
         restarts: false,
         crashing: Crashing::No,
-        silences: true,
+        store_stalls: true,
         signals: true,
     },
     Case {
         seed: 3_902_004,
-        why: "answers that were lost counted as having told gateways",
+        description: "lost responses were counted as having informed the gateways",
         restarts: false,
         crashing: Crashing::No,
-        silences: true,
+        store_stalls: true,
         signals: true,
     },
 ];
 
 #[test]
 fn promises_hold_under_faults() {
-    play(|case| case.crashing == Crashing::No && !case.signals);
+    run_cases(|case| case.crashing == Crashing::No && !case.signals);
 }
 
 #[test]
 fn promises_hold_under_faults_and_signals_of_upstreams() {
-    play(|case| case.signals);
+    run_cases(|case| case.signals);
 }
 
 #[test]
 fn promises_hold_under_faults_and_crashing_requests() {
-    play(|case| case.crashing != Crashing::No);
+    run_cases(|case| case.crashing != Crashing::No);
 }
 
-fn play(chosen: impl Fn(&Case) -> bool) {
+fn run_cases(chosen: impl Fn(&Case) -> bool) {
     for case in CASES.iter().filter(|c| chosen(c)) {
-        println!("seed {}: {}", case.seed, case.why);
-        // A limit holds from three seconds on, and is counted over four.
-        soak(case, Duration::from_secs(if case.signals { 14 } else { 6 }));
+        println!("seed {}: {}", case.seed, case.description);
+        // A rate limit is enforced after three seconds and measured over four.
+        run_soak(case, Duration::from_secs(if case.signals { 14 } else { 6 }));
     }
 }
 
-/// Plays the seeds that the environment names: `SOAK_FIRST`, `SOAK_COUNT` and
+/// Runs the seeds that the environment selects: `SOAK_FIRST`, `SOAK_COUNT` and
 /// `SOAK_SECONDS`.
 #[test]
-#[ignore = "by hand: scripts/soak-gateway"]
+#[ignore = "run manually: scripts/soak-gateway"]
 fn promises_hold_under_many_seeds() {
     let number = |name: &str, default| {
         env::var(name).ok().and_then(|v| v.parse::<u64>().ok()).unwrap_or(default)
@@ -198,18 +201,21 @@
     let seconds = Duration::from_secs(number("SOAK_SECONDS", 8));
     let hidden = if number("SOAK_HIDDEN", 0) > 0 { Crashing::Hidden } else { Crashing::Direct };
     for seed in first..first + number("SOAK_COUNT", 50) {
-        let why = "drawn";
+        let description = "selected by the environment";
         let signals = number("SOAK_SIGNALS", 0) > 0;
         let crashing = if signals { Crashing::No } else { hidden };
         let restarts = !signals;
-        soak(&Case { seed, why, restarts, crashing, silences: true, signals }, seconds);
+        run_soak(
+            &Case { seed, description, restarts, crashing, store_stalls: true, signals },
+            seconds,
+        );
     }
 }
 
-/// Each promise, broken once: the checks must see it.
+/// Breaks each guarantee once: the checks must report it.
 #[test]
 fn the_checks_find_broken_promises() {
-    struct Broken {
+    struct Violation {
         name: &'static str,
         kind: Kind,
         status: u16,
@@ -223,8 +229,8 @@
         json!({ "request": request, "target": format!("POST {path}"), "customer": "temple",
                 "key_passed": false })
     };
-    let right = || Broken {
-        name: "nothing is broken",
+    let right = || Violation {
+        name: "no violation",
         kind: Kind::Plan,
         status: 200,
         seal: "i-1.c0-0",
@@ -243,78 +249,112 @@
     crashing.extend((0..8).map(crashed));
     let crashing = Value::Array(crashing);
     let cases = [
-        Broken { name: "ran twice", runs: two, ..right() },
-        Broken { name: "ran and was refused", status: 503, ..right() },
-        Broken { name: "another's answer", seal: "i-1.c0-1", ..right() },
-        Broken {
+        Violation { name: "ran twice", runs: two, ..right() },
+        Violation { name: "ran although it was refused", status: 503, ..right() },
+        Violation { name: "response to another request", seal: "i-1.c0-1", ..right() },
+        Violation {
             name: "an event is missing",
             body: "id: 1\ndata: a\n\nid: 3\ndata: c\n\n",
             ..right()
         },
-        Broken { name: "looks whole", body: "id: 1\ndata: a\n\n", ..right() },
-        Broken { name: "an answer of nobody", kind: Kind::Check, body: "", runs: none, ..right() },
-        Broken { name: "not sent", runs: json!([run("c9-9", "/plan/x")]), ..right() },
-        Broken { name: "another path", runs: json!([run("c0-0", "/check/x")]), ..right() },
-        Broken { name: "a falling fencing number", duties: falling, ..right() },
-        Broken { name: "two counts of a window", duties: json!([report(1), report(2)]), ..right() },
-        Broken { name: "a request that crashes upstreams is sent on", runs: crashing, ..right() },
+        Violation {
+            name: "truncated stream reported as complete",
+            body: "id: 1\ndata: a\n\n",
+            ..right()
+        },
+        Violation {
+            name: "response without a run",
+            kind: Kind::Check,
+            body: "",
+            runs: none,
+            ..right()
+        },
+        Violation {
+            name: "ran without having been sent",
+            runs: json!([run("c9-9", "/plan/x")]),
+            ..right()
+        },
+        Violation {
+            name: "ran under another path",
+            runs: json!([run("c0-0", "/check/x")]),
+            ..right()
+        },
+        Violation { name: "decreasing fencing number", duties: falling, ..right() },
+        Violation {
+            name: "two reports with different counts for a window",
+            duties: json!([report(1), report(2)]),
+            ..right()
+        },
+        Violation {
+            name: "a request that crashes upstreams is still forwarded",
+            runs: crashing,
+            ..right()
+        },
     ];
-    let check = |case: &Broken| {
+    let check = |case: &Violation| {
         let mut headers = HeaderMap::new();
         headers.insert("x-response-seal", HeaderValue::from_static(case.seal));
         headers.insert("x-request-id", HeaderValue::from_static("c0-0"));
         let status = StatusCode::from_u16(case.status).expect("a status");
         let answer = Answer { status, headers, body: case.body.to_owned(), complete: true };
-        let sent = Sent {
+        let sent = SentRequest {
             id: "c0-0".to_owned(),
             to: ([127, 0, 0, 1], 1).into(),
             kind: case.kind,
             events: 2,
             answer: Some(answer),
         };
-        check::broken_promises(&[sent], &json!({ "runs": case.runs, "duties": case.duties }))
+        check::violated_guarantees(&[sent], &json!({ "runs": case.runs, "duties": case.duties }))
     };
     assert_eq!(check(&right()), Vec::<String>::new());
     for case in &cases {
-        assert!(!check(case).is_empty(), "{} goes unseen", case.name);
+        assert!(!check(case).is_empty(), "{}: not detected", case.name);
     }
 }
 
-/// Each signal of an upstream, ignored once: the checks must see it, and must excuse a
-/// gateway that was disturbed.
+/// Ignores each upstream signal once: the checks must report it, but not for a gateway
+/// that was disturbed by a fault.
 #[test]
 fn the_checks_find_ignored_signals() {
     let gateway: SocketAddr = ([127, 0, 0, 1], 1).into();
     let second = Duration::from_secs(1);
-    let rest = Asked::Rest(3 * second);
-    let asked = [(Asked::Limit(1.0), 200), (Asked::Leaving, 200), (rest, 503)];
-    for (asked, status) in asked {
+    let cooldown = UpstreamSignal::Cooldown(3 * second);
+    let signals =
+        [(UpstreamSignal::RateLimit(1.0), 200), (UpstreamSignal::Leaving, 200), (cooldown, 503)];
+    for (signal, status) in signals {
         let (mut arrivals, mut sent) = (Vec::new(), Vec::new());
         for n in 0..100_u64 {
             let id = format!("c0-{n}");
             arrivals.push(json!({
                 "request": id, "upstream": "i-1", "at_ms": 1_000 + n * 100, "status": status,
             }));
-            sent.push(Sent { id, to: gateway, kind: Kind::Check, events: 2, answer: None });
+            sent.push(SentRequest { id, to: gateway, kind: Kind::Check, events: 2, answer: None });
         }
-        let spell = |from| Spell { upstream: "i-1".to_owned(), asked, from, until: None };
+        let period = |from| SignalPeriod { upstream: "i-1".to_owned(), signal, from, until: None };
         let seen = json!({ "arrivals": arrivals });
-        let find = |spell: Spell, disturbed: Disturbed| {
-            ignored_signals(&[spell], &disturbed, &[gateway], &sent, &seen)
+        let find = |period: SignalPeriod, disturbances: Disturbances| {
+            ignored_signals(&[period], &disturbances, &[gateway], &sent, &seen)
         };
-        assert_eq!(find(spell(second), Vec::new()).len(), 1, "{asked:?} goes unseen");
-        assert!(find(spell(20 * second), Vec::new()).is_empty(), "{asked:?} is over");
+        assert_eq!(find(period(second), Vec::new()).len(), 1, "{signal:?}: not detected");
+        assert!(
+            find(period(20 * second), Vec::new()).is_empty(),
+            "{signal:?}: reported outside its period"
+        );
         let always = (0..200).map(|n| (0, n * second / 10)).collect();
-        assert!(find(spell(second), always).is_empty(), "{asked:?}: nobody was steady");
+        assert!(
+            find(period(second), always).is_empty(),
+            "{signal:?}: reported for a disturbed gateway"
+        );
     }
 }
 
-/// Starts the processes with proxies before the platform, and before the upstreams unless
-/// they are reached directly: a proxy accepts connections when nothing listens behind it.
+/// Starts the processes, with proxies in front of the platform and, unless `direct`, in front
+/// of the upstreams. A proxy accepts connections even when nothing listens behind it, so it
+/// hides that an upstream is down.
 fn start(direct: bool) -> (Site, Vec<Proxy>, Vec<String>) {
     let mut site = Site::bare();
     site.configure(&support::gateways::configuration(7));
-    let (gateways, engines, plain) = SIZES;
+    let (gateways, engines, plain) = GATEWAYS_ENGINES_PLAIN;
     let mut links = Vec::new();
     for _ in 0..gateways {
         let (store, api) = (Proxy::start(), Proxy::start());
@@ -340,69 +380,70 @@
     (site, links, upstreams)
 }
 
-fn soak(case: &Case, time: Duration) {
-    let Case { seed, restarts, crashing, silences, signals, .. } = *case;
+fn run_soak(case: &Case, time: Duration) {
+    let Case { seed, restarts, crashing, store_stalls, signals, .. } = *case;
     let (mut site, links, upstreams) = start(crashing == Crashing::Direct || signals);
     let addresses: Vec<_> = site.gateways.iter().map(|g| g.callers).collect();
     let gateways = addresses.clone();
     let addresses = Arc::new(Mutex::new(addresses));
     let callers = Callers::start(seed, CALLERS, &addresses);
-    let hostile = (crashing != Crashing::No).then(|| HostileCaller::start(seed, &addresses));
+    let crashing_caller =
+        (crashing != Crashing::No).then(|| CrashingCaller::start(seed, &addresses));
     let mut faults = Faults::new(seed, &mut site, &links, &upstreams);
     if restarts {
         faults = faults.with_upstream_restarts(seed);
     }
-    if silences {
-        faults = faults.with_silences(seed);
+    if store_stalls {
+        faults = faults.with_store_stalls(seed);
     }
     if signals {
         faults = faults.with_signals(seed);
     }
-    faults.play(time);
-    let (spells, disturbed) =
-        (std::mem::take(&mut faults.spells), std::mem::take(&mut faults.disturbed));
+    faults.inject_for(time);
+    let (periods, disturbances) =
+        (std::mem::take(&mut faults.periods), std::mem::take(&mut faults.disturbances));
     let (counts, version) = (std::mem::take(&mut faults.counts), faults.next_version());
-    if silences {
-        // The last fault: all calls on their way to the store are lost.
+    if store_stalls {
+        // The last fault: all calls in flight to the store are lost.
         site.store("silent");
         site.store("up");
     }
-    let (_, engines, _) = SIZES;
+    let (_, engines, _) = GATEWAYS_ENGINES_PLAIN;
     let mut rng = fastrand::Rng::with_seed(seed);
-    let late = freshness::changes_known_late(&site, &mut rng, version, &upstreams[engines]);
-    let removals = match silences {
-        true => removals::broken_by_removals(&site, &upstreams),
+    let late = freshness::late_changes(&site, &mut rng, version, &upstreams[engines]);
+    let removals = match store_stalls {
+        true => removals::violations_by_removals(&site, &upstreams),
         false => Vec::new(),
     };
     let sent = callers.finish();
-    hostile.into_iter().for_each(HostileCaller::finish);
-    recovers(&site, seed);
+    crashing_caller.into_iter().for_each(CrashingCaller::finish);
+    assert_gateways_recover(&site, seed);
     let seen = site.seen();
-    let mut broken = check::broken_promises(&sent, &seen);
-    let ignored = ignored_signals(&spells, &disturbed, &gateways, &sent, &seen);
+    let mut violations = check::violated_guarantees(&sent, &seen);
+    let ignored = ignored_signals(&periods, &disturbances, &gateways, &sent, &seen);
     if !ignored.is_empty() {
-        println!("{spells:#?}\n{disturbed:?}\n{}", signal_lines(&site));
+        println!("{periods:#?}\n{disturbances:?}\n{}", signal_lines(&site));
     }
-    broken.extend(ignored);
+    violations.extend(ignored);
     let answered = sent.iter().filter(|s| s.answer.as_ref().is_some_and(|a| a.complete)).count();
     println!("seed {seed}: {} requests, {answered} answered, faults {counts:?}", sent.len());
-    assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
-    assert!(late.is_empty(), "seed {seed}: known too late: {late:#?}");
+    assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
+    assert!(late.is_empty(), "seed {seed}: changes propagated too late: {late:#?}");
     assert!(removals.is_empty(), "seed {seed}: {removals:#?}");
-    assert!(answered > 0, "seed {seed}: nothing was served");
+    assert!(answered > 0, "seed {seed}: no request was answered");
 }
 
-/// Returns what the gateways logged of ends of upstreams and of requests held for them.
+/// Returns the log lines of all gateways about crashed upstreams and quarantined requests.
 fn crash_lines(site: &Site) -> String {
-    lines_of(site, &["upstream_ended", "verdict"])
+    log_lines(site, &["upstream_ended", "verdict"])
 }
 
-/// Returns what the gateways logged of upstreams and of what these ask for.
+/// Returns the log lines of all gateways about upstreams and the signals they send.
 fn signal_lines(site: &Site) -> String {
-    lines_of(site, &["started", "upstream", "said_leaving", "rest", "rate_limit"])
+    log_lines(site, &["started", "upstream", "said_leaving", "rest", "rate_limit"])
 }
 
-fn lines_of(site: &Site, events: &[&str]) -> String {
+fn log_lines(site: &Site, events: &[&str]) -> String {
     let lines = site.gateways.iter().flat_map(|g| g.log());
     let of_interest = |l: &Value| events.iter().any(|event| l["event"] == *event);
     let mut lines: Vec<Value> = lines.filter(of_interest).collect();
@@ -410,25 +451,25 @@
     lines.iter().map(|l| format!("{l}\n")).collect()
 }
 
-/// After the faults every gateway serves every kind of request again.
-fn recovers(site: &Site, seed: u64) {
+/// Asserts that every gateway serves every kind of request again after the faults.
+fn assert_gateways_recover(site: &Site, seed: u64) {
     let mut tries = 0;
     for gateway in &site.gateways {
         for kind in [Kind::Plan, Kind::Digest, Kind::Confirm, Kind::Check] {
             let until = Instant::now() + RECOVERY_BOUND;
             loop {
                 tries += 1;
-                let call = kind.call(&format!("{}{tries}", check::AFTER), 3);
+                let call = kind.call(&format!("{}{tries}", check::RECOVERY_ID_PREFIX), 3);
                 let answer = call.send(gateway.callers);
                 if answer.as_ref().is_some_and(|a| a.complete && a.status == StatusCode::OK) {
                     break;
                 }
                 let log = gateway.log();
-                let last = &log[log.len().saturating_sub(LAST_LINES)..];
+                let last = &log[log.len().saturating_sub(LOG_TAIL_LINES)..];
                 let crashes = || crash_lines(site);
                 assert!(
                     Instant::now() < until,
-                    "seed {seed}: {} serves no {kind:?}: {answer:?}\n{}\n{last:#?}\n{}",
+                    "seed {seed}: gateway {} did not recover for {kind:?}: {answer:?}\n{}\n{last:#?}\n{}",
                     gateway.callers,
                     gateway.said(),
                     crashes(),
--- a/tests/soak/callers.rs
+++ b/tests/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of the soak: each keeps its connection until the process is gone.
+//! Callers of the soak test. Each reuses its connection while it is open and not too old.
 
 use std::{
     net::SocketAddr,
@@ -16,21 +16,21 @@
 
 use crate::support::gateways::{Answer, Call};
 
-/// Patience of a caller: beyond it, the answer counts as missing.
-const PATIENCE: Duration = Duration::from_secs(4);
-/// For how long callers use the addresses that they were told.
-const KEEP_ADDRESS: Duration = Duration::from_secs(2);
+/// Time after which a caller gives up and the response counts as missing.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Age up to which a caller reuses a connection before it picks an address again.
+const CONNECTION_MAX_AGE: Duration = Duration::from_secs(2);
 
-/// What kind of request was sent.
+/// Kind of a request, one per route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// A stream that may not be resumed.
+    /// A stream that must not be resumed.
     Plan,
     /// A stream that may be resumed.
     Digest,
-    /// A call that may run once.
+    /// A call that must run at most once.
     Confirm,
-    /// A call that may be repeated.
+    /// An idempotent call, which may be retried.
     Check,
 }
 
@@ -59,106 +59,107 @@
     }
 }
 
-/// A request and what came of it.
+/// A request that was sent, and its response.
 #[derive(Debug)]
-pub struct Sent {
+pub struct SentRequest {
     pub id: String,
     /// The gateway that it was sent to.
     pub to: SocketAddr,
     pub kind: Kind,
     pub events: u64,
-    /// `None` if no answer came, or none in time.
+    /// `None` if no response arrived in time.
     pub answer: Option<Answer>,
 }
 
-/// Callers at work.
+/// The running caller threads.
 pub struct Callers {
     stop: Arc<AtomicBool>,
-    threads: Vec<JoinHandle<Vec<Sent>>>,
+    threads: Vec<JoinHandle<Vec<SentRequest>>>,
 }
 
 impl Callers {
-    /// Starts `count` callers, who use the listed addresses.
+    /// Starts `count` callers, each sending to randomly chosen `addresses`.
     pub fn start(seed: u64, count: u64, addresses: &Arc<Mutex<Vec<SocketAddr>>>) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let threads = (0..count)
             .map(|n| {
                 let (stop, addresses) = (stop.clone(), addresses.clone());
                 let rng = fastrand::Rng::with_seed(seed ^ (n + 1).wrapping_mul(0x9e37_79b9));
-                thread::spawn(move || work(n, rng, &stop, &addresses))
+                thread::spawn(move || send_requests(n, rng, &stop, &addresses))
             })
             .collect();
         Self { stop, threads }
     }
 
-    /// Stops them and returns all that they sent.
-    pub fn finish(self) -> Vec<Sent> {
+    /// Stops the callers and returns all requests that they sent.
+    pub fn finish(self) -> Vec<SentRequest> {
         self.stop.store(true, Ordering::SeqCst);
         self.threads.into_iter().flat_map(|t| t.join().expect("a caller")).collect()
     }
 }
 
-fn work(
+fn send_requests(
     n: u64,
     mut rng: fastrand::Rng,
     stop: &AtomicBool,
     addresses: &Mutex<Vec<SocketAddr>>,
-) -> Vec<Sent> {
+) -> Vec<SentRequest> {
     let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
     let mut sent = Vec::new();
     LocalSet::new().block_on(&runtime, async {
-        let mut kept: Option<(HttpConnection, SocketAddr, Instant)> = None;
+        let mut idle: Option<(HttpConnection, SocketAddr, Instant)> = None;
         while !stop.load(Ordering::SeqCst) {
-            let known = addresses.lock().expect("no panic").clone();
-            let to = known[rng.usize(..known.len())];
+            let targets = addresses.lock().expect("no panic").clone();
+            let to = targets[rng.usize(..targets.len())];
             let kind = KINDS[rng.usize(..KINDS.len())];
             let events = rng.u64(1..40);
             let id = format!("c{n}-{}", sent.len());
             let usable =
-                kept.take().filter(|(c, _, at)| c.is_open() && at.elapsed() < KEEP_ADDRESS);
+                idle.take().filter(|(c, _, at)| c.is_open() && at.elapsed() < CONNECTION_MAX_AGE);
             let opened = match usable {
                 Some(usable) => Some(usable),
-                None => connect(to, PATIENCE).await.ok().map(|c| (c, to, Instant::now())),
+                None => connect(to, RESPONSE_TIMEOUT).await.ok().map(|c| (c, to, Instant::now())),
             };
             let Some((mut connection, to, since)) = opened else {
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             };
             let call = kind.call(&id, events);
-            let answer = timeout(PATIENCE, call.exchange_on(&mut connection)).await.ok().flatten();
+            let answer =
+                timeout(RESPONSE_TIMEOUT, call.exchange_on(&mut connection)).await.ok().flatten();
             let reusable =
                 answer.as_ref().is_some_and(|a| a.complete && a.header("connection") != "close");
-            kept = reusable.then_some((connection, to, since));
-            sent.push(Sent { id, to, kind, events, answer });
+            idle = reusable.then_some((connection, to, since));
+            sent.push(SentRequest { id, to, kind, events, answer });
             tokio::time::sleep(Duration::from_millis(rng.u64(..30))).await;
         }
     });
     sent
 }
 
-impl Sent {
-    /// Returns whether the system said that the request did not run.
-    pub fn is_said_not_run(&self) -> bool {
+impl SentRequest {
+    /// Returns whether the response states that the request did not run.
+    pub fn is_refused_before_run(&self) -> bool {
         let refused = [StatusCode::SERVICE_UNAVAILABLE, StatusCode::TOO_MANY_REQUESTS];
         self.answer.as_ref().is_some_and(|a| refused.contains(&a.status))
     }
 }
 
-/// Start of the ids of requests that crash upstreams.
-pub const HOSTILE: &str = "hostile-";
-/// Start of the last part of their paths.
-pub const CRASHING: &str = "crash-";
-/// For how long the same is asked for before something new that crashes upstreams is.
-const SAME_FOR: Duration = Duration::from_secs(4);
+/// Prefix of the ids of requests that crash upstreams.
+pub const CRASHING_ID_PREFIX: &str = "hostile-";
+/// Prefix of the last path segment of requests that crash upstreams.
+pub const CRASHING_PATH_PREFIX: &str = "crash-";
+/// Time for which the same crashing path is requested before the next one.
+const CRASHING_PATH_PERIOD: Duration = Duration::from_secs(4);
 
-/// A caller whose requests crash the upstreams that run them. It sends the same again and
-/// again, at all gateways, and something new now and then.
-pub struct HostileCaller {
+/// A caller whose requests crash the upstreams that run them. It repeats the same request at
+/// all gateways and moves to a new path at a fixed interval.
+pub struct CrashingCaller {
     stop: Arc<AtomicBool>,
     thread: JoinHandle<()>,
 }
 
-impl HostileCaller {
+impl CrashingCaller {
     pub fn start(seed: u64, addresses: &Arc<Mutex<Vec<SocketAddr>>>) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
         let (stopped, addresses) = (stop.clone(), addresses.clone());
@@ -169,16 +170,19 @@
                 if stopped.load(Ordering::SeqCst) {
                     return;
                 }
-                let known = addresses.lock().expect("no panic").clone();
-                let what = began.elapsed().as_secs() / SAME_FOR.as_secs();
-                let path = format!("/{}/{CRASHING}{what}", ["digest", "check"][what as usize % 2]);
-                let id = format!("{HOSTILE}{n}");
-                let mut call = match what % 2 {
+                let targets = addresses.lock().expect("no panic").clone();
+                let path_number = began.elapsed().as_secs() / CRASHING_PATH_PERIOD.as_secs();
+                let path = format!(
+                    "/{}/{CRASHING_PATH_PREFIX}{path_number}",
+                    ["digest", "check"][path_number as usize % 2]
+                );
+                let id = format!("{CRASHING_ID_PREFIX}{n}");
+                let mut call = match path_number % 2 {
                     0 => Call::stream(&path, &id, 40),
                     _ => Call::new("GET", &path, &id),
                 };
                 call.body = "crash".to_owned();
-                call.leaving_after(PATIENCE).send(known[rng.usize(..known.len())]);
+                call.leaving_after(RESPONSE_TIMEOUT).send(targets[rng.usize(..targets.len())]);
                 thread::sleep(Duration::from_millis(rng.u64(50..200)));
             }
         });
@@ -187,6 +191,6 @@
 
     pub fn finish(self) {
         self.stop.store(true, Ordering::SeqCst);
-        self.thread.join().expect("the hostile caller");
+        self.thread.join().expect("the crashing caller");
     }
 }
--- a/tests/soak/check.rs
+++ b/tests/soak/check.rs
@@ -1,4 +1,4 @@
-//! The promises, checked from what callers and upstreams saw.
+//! Checks the guarantees against what callers and upstreams observed.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -8,108 +8,119 @@
 use hyper::StatusCode;
 use serde_json::Value;
 
-use super::callers::{CRASHING, HOSTILE, Kind, Sent};
+use super::callers::{CRASHING_ID_PREFIX, CRASHING_PATH_PREFIX, Kind, SentRequest};
 
-/// Time after the third end of an upstream under a request until no gateway sends it any
-/// more: three seconds, and 2.5 for which a gateway may be paused.
-const KNOWN_WITHIN: Duration = Duration::from_millis(5_500);
-/// Runs that are borne later than that.
-const RUNS_BORNE: usize = 3;
-/// Start of the ids of calls that look whether the system has recovered.
-pub const AFTER: &str = "after-";
+/// Time after the third crash caused by a request within which all gateways must stop
+/// forwarding it: three seconds, plus 2.5 s for which a fault may pause a gateway.
+const STOP_FORWARDING_WITHIN: Duration = Duration::from_millis(5_500);
+/// Number of runs tolerated after that time.
+const MAX_LATE_RUNS: usize = 3;
+/// Prefix of the ids of calls that check whether the system has recovered.
+pub const RECOVERY_ID_PREFIX: &str = "after-";
 
-/// Returns a line for each promise that was broken.
-pub fn broken_promises(sent: &[Sent], seen: &Value) -> Vec<String> {
+/// Returns one message for each violated guarantee.
+pub fn violated_guarantees(sent: &[SentRequest], seen: &Value) -> Vec<String> {
     let runs = seen["runs"].as_array().cloned().unwrap_or_default();
-    let mut of_request: HashMap<&str, Vec<&Value>> = HashMap::new();
+    let mut runs_by_request: HashMap<&str, Vec<&Value>> = HashMap::new();
     for run in &runs {
-        of_request.entry(run["request"].as_str().unwrap_or_default()).or_default().push(run);
+        runs_by_request.entry(run["request"].as_str().unwrap_or_default()).or_default().push(run);
     }
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     for sent in sent {
-        let runs = of_request.remove(sent.id.as_str()).unwrap_or_default();
-        broken.extend(check_answer(sent));
-        broken.extend(check_runs(sent, &runs));
+        let runs = runs_by_request.remove(sent.id.as_str()).unwrap_or_default();
+        violations.extend(check_answer(sent));
+        violations.extend(check_runs(sent, &runs));
     }
-    // What is left ran without a caller, but for the calls after the faults.
-    of_request.retain(|id, _| !id.starts_with(AFTER) && !id.starts_with(HOSTILE));
-    broken.extend(of_request.keys().map(|id| format!("{id:?} ran and was not sent")));
-    broken.extend(check_duties(seen));
-    broken.extend(check_crashing(&runs));
-    broken
+    // Remaining runs had no caller, except recovery checks and requests of the crashing caller.
+    runs_by_request
+        .retain(|id, _| !id.starts_with(RECOVERY_ID_PREFIX) && !id.starts_with(CRASHING_ID_PREFIX));
+    violations
+        .extend(runs_by_request.keys().map(|id| format!("{id:?} ran without having been sent")));
+    violations.extend(check_duties(seen));
+    violations.extend(check_crashing(&runs));
+    violations
 }
 
-/// Once all gateways must know it, a request under which three upstreams ended is sent
-/// three times more at most.
+/// Checks that a request that crashed three upstreams is forwarded at most three more times
+/// after all gateways must know of it.
 fn check_crashing(runs: &[Value]) -> Vec<String> {
-    let mut of_target: BTreeMap<&str, Vec<&Value>> = BTreeMap::new();
+    let mut runs_by_target: BTreeMap<&str, Vec<&Value>> = BTreeMap::new();
     for run in runs {
         let target = run["target"].as_str().unwrap_or_default();
-        if target.contains(CRASHING) {
-            of_target.entry(target).or_default().push(run);
+        if target.contains(CRASHING_PATH_PREFIX) {
+            runs_by_target.entry(target).or_default().push(run);
         }
     }
-    let mut broken = Vec::new();
-    for (target, runs) in of_target {
+    let mut violations = Vec::new();
+    for (target, runs) in runs_by_target {
         let crashed = runs.iter().filter(|r| r["end"] == "crashed");
         let end = |r: &&Value| (r["ended_ms"].as_u64(), r["upstream"].to_string());
         let ends: BTreeSet<_> = crashed.map(end).collect();
         let third = ends.iter().nth(2).and_then(|(at, _)| *at);
-        let known = third.map(|at| at + KNOWN_WITHIN.as_millis() as u64);
+        let known = third.map(|at| at + STOP_FORWARDING_WITHIN.as_millis() as u64);
         let late = runs.iter().filter(|r| known.is_some() && r["began_ms"].as_u64() > known);
         let late = late.count();
-        if late > RUNS_BORNE {
-            broken.push(format!("{target}: {late} of {} runs after it must be known", runs.len()));
+        if late > MAX_LATE_RUNS {
+            violations.push(format!(
+                "{target}: {late} of {} runs after all gateways must have stopped forwarding it",
+                runs.len()
+            ));
         }
     }
-    broken
+    violations
 }
 
-fn check_answer(sent: &Sent) -> Option<String> {
+fn check_answer(sent: &SentRequest) -> Option<String> {
     let answer = sent.answer.as_ref()?;
     if answer.status != StatusCode::OK {
         return None;
     }
     let own_seal = answer.header("x-response-seal").ends_with(&format!(".{}", sent.id));
     if !own_seal || answer.header("x-request-id") != sent.id {
-        return Some(format!("{}: answered with another request's answer", sent.id));
+        return Some(format!("{}: received the response to another request", sent.id));
     }
     if !matches!(sent.kind, Kind::Plan | Kind::Digest) {
-        let whole = answer.body.starts_with("ran at ");
-        return (answer.complete && !whole)
-            .then(|| format!("{}: not whole: {:?}", sent.id, answer.body));
+        let is_whole = answer.body.starts_with("ran at ");
+        return (answer.complete && !is_whole).then(|| {
+            format!("{}: truncated response reported as complete: {:?}", sent.id, answer.body)
+        });
     }
     let ids = answer.event_ids();
     let in_order = ids.iter().copied().eq(1..=ids.len() as u64);
-    let whole = ids.len() as u64 == sent.events;
-    (!in_order || (answer.complete && !whole))
-        .then(|| format!("{}: events {ids:?} of {}, {}", sent.id, sent.events, answer.complete))
+    let is_whole = ids.len() as u64 == sent.events;
+    (!in_order || (answer.complete && !is_whole)).then(|| {
+        format!(
+            "{}: received events {ids:?} of {}, reported as complete: {}",
+            sent.id, sent.events, answer.complete
+        )
+    })
 }
 
-fn check_runs(sent: &Sent, runs: &[&Value]) -> Vec<String> {
-    let mut broken = Vec::new();
+fn check_runs(sent: &SentRequest, runs: &[&Value]) -> Vec<String> {
+    let mut violations = Vec::new();
     if runs.len() > 1 && !sent.kind.may_run_again() {
-        broken.push(format!("{} ran {} times", sent.id, runs.len()));
+        violations.push(format!("{} ran {} times", sent.id, runs.len()));
     }
-    if sent.is_said_not_run() && !runs.is_empty() {
-        broken.push(format!("{} ran and was said not to have run", sent.id));
+    if sent.is_refused_before_run() && !runs.is_empty() {
+        violations.push(format!("{} ran although the response states that it did not", sent.id));
     }
     for run in runs {
         let target = run["target"].as_str().unwrap_or_default();
         if !target.ends_with(sent.kind.path()) || run["customer"] != "temple" {
-            broken.push(format!("{} ran as {run}", sent.id));
+            violations.push(format!("{} ran with a wrong path or customer: {run}", sent.id));
         }
         if run["key_passed"] == true {
-            broken.push(format!("{}: the key was passed on", sent.id));
+            violations.push(format!("{}: the API key was forwarded to the upstream", sent.id));
         }
     }
-    broken
+    violations
 }
 
-/// Fencing numbers never fall, and each window of usage has one report.
+/// Checks that fencing numbers never decrease, and that all usage reports for a window have the
+/// same counts.
 fn check_duties(seen: &Value) -> Vec<String> {
     let duties = seen["duties"].as_array().cloned().unwrap_or_default();
-    let mut broken = Vec::new();
+    let mut violations = Vec::new();
     let mut highest: BTreeMap<String, u64> = BTreeMap::new();
     let mut windows: BTreeMap<u64, Value> = BTreeMap::new();
     for duty in &duties {
@@ -117,16 +128,16 @@
         let fence = duty["fence"].as_u64().unwrap_or_default();
         let known = highest.entry(subject).or_default();
         if fence < *known {
-            broken.push(format!("fencing number {fence} after {known}: {duty}"));
+            violations.push(format!("fencing number {fence} after {known}: {duty}"));
         }
         *known = fence.max(*known);
         if let Some(window) = duty["body"]["windowNumber"].as_u64() {
             let counts = &duty["body"]["counts"];
             let first = windows.entry(window).or_insert_with(|| counts.clone());
             if first != counts {
-                broken.push(format!("window {window} reported as {first} and {counts}"));
+                violations.push(format!("window {window} reported as {first} and {counts}"));
             }
         }
     }
-    broken
+    violations
 }
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Faults from outside, drawn from a seed. They come in series and overlap.
+//! Injects faults from outside, drawn from a seed. Faults follow one another and may overlap.
 
 use std::time::{Duration, Instant};
 
@@ -8,57 +8,57 @@
 
 use super::{
     proxy::{Link, Proxy},
-    signals::{Asked, Disturbed, Spell},
+    signals::{Disturbances, SignalPeriod, UpstreamSignal},
 };
 use crate::support::gateways::{Site, configuration};
 
-/// Upstreams' behaviours that a fault sets for a while.
+/// Faulty behaviours of an upstream that a fault sets for a while.
 const BEHAVIOURS: [&str; 5] = ["full", "fail", "lose", "break_midway", "crossed"];
 
-/// Tell draws from the other draws of a seed.
+/// Mixed into the seed so that each optional kind of fault has an independent random sequence.
 const RESTARTS: u64 = 0x7265_7374_6172_7473;
-const SILENCES: u64 = 0x7369_6c65_6e63_6573;
+const STORE_STALLS: u64 = 0x7369_6c65_6e63_6573;
 const SIGNALS: u64 = 0x7369_676e_616c_7300;
 
-/// What ends a fault.
+/// The action that ends a fault.
 #[derive(Clone, Copy, Debug)]
-enum Mend {
-    /// Starts a gateway that was killed or has left.
+enum FaultEnd {
+    /// Starts a gateway that was killed or stopped.
     Start(usize),
-    /// Lets a gateway go on.
+    /// Resumes a paused gateway.
     Resume(usize),
-    /// Lets a link pass everything.
+    /// Restores normal forwarding of a proxy link.
     Link(usize),
-    /// Lets the store answer.
+    /// Makes the store answer again.
     Store,
-    /// Lets an upstream serve.
+    /// Makes an upstream serve normally again.
     Behave(usize),
-    /// Writes an upstream's row again.
+    /// Writes an upstream's row back to the store.
     Row(usize),
-    /// Ends what an upstream asks for.
+    /// Ends the signal that an upstream sends.
     Signal(usize),
 }
 
-/// What the faults have at hand.
+/// Injects faults into a site and ends them when they are due.
 pub struct Faults<'a> {
     site: &'a mut Site,
-    /// Links to the store and the API by gateway, then those to upstreams.
+    /// The proxies to the store and to the API for each gateway, then those to upstreams.
     links: &'a [Proxy],
     upstreams: &'a [String],
     rng: fastrand::Rng,
-    due: Vec<(Instant, Mend)>,
+    due: Vec<(Instant, FaultEnd)>,
     version: u64,
-    /// Draws which upstreams start again under their ids; `None` if none do.
+    /// Draws which upstreams restart under the same id; `None` if none do.
     restarts: Option<fastrand::Rng>,
-    /// Draws when the store falls silent for all; `None` if it does not.
-    silences: Option<fastrand::Rng>,
-    /// Draws what upstreams ask for in their answers; `None` if they ask for nothing.
+    /// Draws when the store stops answering all gateways; `None` if it never does.
+    store_stalls: Option<fastrand::Rng>,
+    /// Draws the signals that upstreams send in responses; `None` if they send none.
     signals: Option<fastrand::Rng>,
-    /// What upstreams asked for.
-    pub spells: Vec<Spell>,
-    /// When gateways were killed, stopped or paused, or went on.
-    pub disturbed: Disturbed,
-    /// How often each kind came.
+    /// The signals that upstreams sent, with their times.
+    pub periods: Vec<SignalPeriod>,
+    /// When gateways were killed, stopped, paused, resumed or restarted.
+    pub disturbances: Disturbances,
+    /// Number of injected faults by kind.
     pub counts: std::collections::BTreeMap<&'static str, usize>,
 }
 
@@ -75,58 +75,58 @@
             due,
             version,
             restarts: None,
-            silences: None,
+            store_stalls: None,
             signals: None,
-            spells: Vec::new(),
-            disturbed: Vec::new(),
+            periods: Vec::new(),
+            disturbances: Vec::new(),
             counts,
         }
     }
 
-    /// Lets upstreams name limits, leave and ask for rest in their answers now and then,
-    /// beside the other faults and without a change to which of those a seed draws.
+    /// Adds upstreams that announce rate limits, leaving and cooldowns in their responses. The
+    /// draws of the other faults of a seed stay the same.
     pub fn with_signals(mut self, seed: u64) -> Self {
         self.signals = Some(fastrand::Rng::with_seed(seed ^ SIGNALS));
         self
     }
 
-    /// Lets upstreams start again under their ids, beside the other faults and
-    /// without a change to which of those a seed draws.
+    /// Adds upstreams that restart under the same id. The draws of the other faults of a seed
+    /// stay the same.
     pub fn with_upstream_restarts(mut self, seed: u64) -> Self {
         self.restarts = Some(fastrand::Rng::with_seed(seed ^ RESTARTS));
         self
     }
 
-    /// Lets the store fall silent now and then, open connections included, beside the
-    /// other faults and without a change to which of those a seed draws.
-    pub fn with_silences(mut self, seed: u64) -> Self {
-        self.silences = Some(fastrand::Rng::with_seed(seed ^ SILENCES));
+    /// Adds periods in which the store stops answering, also on open connections. The draws of
+    /// the other faults of a seed stay the same.
+    pub fn with_store_stalls(mut self, seed: u64) -> Self {
+        self.store_stalls = Some(fastrand::Rng::with_seed(seed ^ STORE_STALLS));
         self
     }
 
-    /// Returns a version that is newer than all that were written.
+    /// Returns a configuration version newer than all that were written.
     pub fn next_version(&self) -> u64 {
         self.version + 1
     }
 
-    /// Brings faults for a while, then mends all of them.
-    pub fn play(&mut self, time: Duration) {
+    /// Injects faults for `time`, then waits until all of them have ended.
+    pub fn inject_for(&mut self, time: Duration) {
         let until = Instant::now() + time;
         while Instant::now() < until {
             std::thread::sleep(Duration::from_millis(self.rng.u64(40..400)));
-            self.mend(Instant::now());
-            self.next();
+            self.end_due_faults(Instant::now());
+            self.inject_next();
             self.restart_upstream();
-            self.silence_store();
+            self.stall_store();
             self.signal_upstream();
         }
         while !self.due.is_empty() {
             std::thread::sleep(Duration::from_millis(20));
-            self.mend(Instant::now());
+            self.end_due_faults(Instant::now());
         }
     }
 
-    fn next(&mut self) {
+    fn inject_next(&mut self) {
         let gateway = self.rng.usize(..self.site.gateways.len());
         let upstream = self.rng.usize(..self.upstreams.len());
         let link = self.rng.usize(..self.links.len());
@@ -135,14 +135,14 @@
             1 => self.signal(gateway, Signal::SIGTERM, "stop"),
             2 => self.signal(gateway, Signal::SIGHUP, "reload"),
             3 => self.pause(gateway),
-            4 | 5 => self.harm(link),
+            4 | 5 => self.degrade_link(link),
             6 => {
                 self.links[link].reset();
                 Some("reset")
             }
             7 => self.store(),
-            8 | 9 => self.misbehave(upstream),
-            10 => self.lapse(upstream),
+            8 | 9 => self.set_faulty_behaviour(upstream),
+            10 => self.remove_row(upstream),
             _ => self.configure(),
         };
         if let Some(kind) = kind {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Starts an upstream again now and then, by a clock that may have been set back.
+    /// Occasionally restarts an upstream, whose clock may have been set back.
     fn restart_upstream(&mut self) {
         let Some(rng) = &mut self.restarts else {
             return;
@@ -164,10 +164,10 @@
         *self.counts.entry("started_again").or_default() += 1;
     }
 
-    /// Lets the store fall silent now and then, for nothing but the connections that are
-    /// open or for up to two and a half seconds.
-    fn silence_store(&mut self) {
-        let Some(rng) = &mut self.silences else {
+    /// Occasionally makes the store stop answering: either only on the connections that are
+    /// open at that moment, or for up to 2.5 s.
+    fn stall_store(&mut self) {
+        let Some(rng) = &mut self.store_stalls else {
             return;
         };
         if rng.u8(..6) > 0 {
@@ -175,42 +175,43 @@
         }
         let lasts = Duration::from_millis(if rng.bool() { rng.u64(..2_500) } else { 0 });
         self.site.store("silent");
-        self.due.push((Instant::now() + lasts, Mend::Store));
+        self.due.push((Instant::now() + lasts, FaultEnd::Store));
         *self.counts.entry("store_falls_silent").or_default() += 1;
     }
 
-    /// Lets an upstream ask for something now and then.
+    /// Occasionally makes an upstream send a signal in its responses.
     fn signal_upstream(&mut self) {
         let Some(rng) = &mut self.signals else {
             return;
         };
         let n = rng.usize(..self.upstreams.len());
-        let is_asking = self.due.iter().any(|(_, m)| matches!(m, Mend::Signal(of) if *of == n));
-        if rng.u8(..3) > 0 || is_asking {
+        let is_signalling =
+            self.due.iter().any(|(_, m)| matches!(m, FaultEnd::Signal(of) if *of == n));
+        if rng.u8(..3) > 0 || is_signalling {
             return;
         }
-        let rest = Duration::from_millis(rng.u64(800..3_000));
-        let (asked, kind) = match rng.u8(..4) {
-            0 => (Asked::Leaving, "says_leaving"),
-            1 => (Asked::Rest(rest), "asks_for_rest"),
-            _ => (Asked::Limit(rng.u64(1..4) as f64), "names_limit"),
+        let cooldown = Duration::from_millis(rng.u64(800..3_000));
+        let (signal, kind) = match rng.u8(..4) {
+            0 => (UpstreamSignal::Leaving, "says_leaving"),
+            1 => (UpstreamSignal::Cooldown(cooldown), "asks_for_rest"),
+            _ => (UpstreamSignal::RateLimit(rng.u64(1..4) as f64), "names_limit"),
         };
         let lasts = Duration::from_millis(rng.u64(2_000..9_000));
         let upstream = self.upstreams[n].clone();
-        match asked {
-            Asked::Limit(rate) => {
+        match signal {
+            UpstreamSignal::RateLimit(rate) => {
                 self.site.signal(&upstream, &[("server-limit", &rate.to_string())]);
             }
-            Asked::Leaving => self.site.signal(&upstream, &[("server-leaving", "1")]),
-            Asked::Rest(rest) => {
-                let seconds = rest.as_secs_f64().to_string();
+            UpstreamSignal::Leaving => self.site.signal(&upstream, &[("server-leaving", "1")]),
+            UpstreamSignal::Cooldown(cooldown) => {
+                let seconds = cooldown.as_secs_f64().to_string();
                 self.site.signal(&upstream, &[("retry-after", &seconds)]);
                 self.site.behave(Some(&upstream), "full");
             }
         }
         let from = self.site.emulator_now();
-        self.spells.push(Spell { upstream, asked, from, until: None });
-        self.due.push((Instant::now() + lasts, Mend::Signal(n)));
+        self.periods.push(SignalPeriod { upstream, signal, from, until: None });
+        self.due.push((Instant::now() + lasts, FaultEnd::Signal(n)));
         *self.counts.entry(kind).or_default() += 1;
     }
 
@@ -218,47 +219,47 @@
         let upstream = &self.upstreams[n];
         let until = self.site.emulator_now();
         self.site.signal(upstream, &[]);
-        let spell = self.spells.iter_mut().rev().find(|s| s.upstream == *upstream);
-        let Some(spell) = spell else {
+        let period = self.periods.iter_mut().rev().find(|s| s.upstream == *upstream);
+        let Some(period) = period else {
             return;
         };
-        spell.until = Some(until);
-        match spell.asked {
-            // It leaves for good: what serves from now on is a later start of it.
-            Asked::Leaving => self.site.restart_upstream(upstream, unix_millis()),
-            Asked::Rest(_) => self.site.behave(Some(upstream), "serve"),
-            Asked::Limit(_) => {}
+        period.until = Some(until);
+        match period.signal {
+            // Leaving is final for a process: a restarted one serves from now on.
+            UpstreamSignal::Leaving => self.site.restart_upstream(upstream, unix_millis()),
+            UpstreamSignal::Cooldown(_) => self.site.behave(Some(upstream), "serve"),
+            UpstreamSignal::RateLimit(_) => {}
         }
     }
 
-    fn disturb(&mut self, gateway: usize) {
+    fn record_disturbance(&mut self, gateway: usize) {
         let at = self.site.emulator_now();
-        self.disturbed.push((gateway, at));
+        self.disturbances.push((gateway, at));
     }
 
-    fn after(&mut self, most_ms: u64, mend: Mend) {
-        let time = Duration::from_millis(self.rng.u64(100..most_ms));
-        self.due.push((Instant::now() + time, mend));
+    fn end_after(&mut self, max_ms: u64, fault_end: FaultEnd) {
+        let time = Duration::from_millis(self.rng.u64(100..max_ms));
+        self.due.push((Instant::now() + time, fault_end));
     }
 
-    /// Returns whether a gateway is whole: one that is down, starting, paused or
-    /// leaving is left to its present fault.
-    fn is_whole(&self, gateway: usize) -> bool {
-        let of_gateway = |mend: &Mend| match mend {
-            Mend::Start(n) | Mend::Resume(n) => *n == gateway,
+    /// Returns whether a gateway runs normally. One that is down, starting, paused or draining
+    /// gets no second fault.
+    fn runs_normally(&self, gateway: usize) -> bool {
+        let of_gateway = |fault_end: &FaultEnd| match fault_end {
+            FaultEnd::Start(n) | FaultEnd::Resume(n) => *n == gateway,
             _ => false,
         };
-        let mended = !self.due.iter().any(|(_, mend)| of_gateway(mend));
-        mended && self.site.gateways[gateway].has_started()
+        let has_no_fault = !self.due.iter().any(|(_, fault_end)| of_gateway(fault_end));
+        has_no_fault && self.site.gateways[gateway].has_started()
     }
 
     fn kill(&mut self, gateway: usize) -> Option<&'static str> {
-        if !self.is_whole(gateway) {
+        if !self.runs_normally(gateway) {
             return None;
         }
         self.site.gateways[gateway].kill();
-        self.disturb(gateway);
-        self.after(1_500, Mend::Start(gateway));
+        self.record_disturbance(gateway);
+        self.end_after(1_500, FaultEnd::Start(gateway));
         Some("kill")
     }
 
@@ -268,28 +269,28 @@
         signal: Signal,
         kind: &'static str,
     ) -> Option<&'static str> {
-        if !self.is_whole(gateway) {
+        if !self.runs_normally(gateway) {
             return None;
         }
         self.site.gateways[gateway].signal(signal);
         if signal == Signal::SIGTERM {
-            self.disturb(gateway);
-            self.after(500, Mend::Start(gateway));
+            self.record_disturbance(gateway);
+            self.end_after(500, FaultEnd::Start(gateway));
         }
         Some(kind)
     }
 
     fn pause(&mut self, gateway: usize) -> Option<&'static str> {
-        if !self.is_whole(gateway) {
+        if !self.runs_normally(gateway) {
             return None;
         }
         self.site.gateways[gateway].signal(Signal::SIGSTOP);
-        self.disturb(gateway);
-        self.after(2_500, Mend::Resume(gateway));
+        self.record_disturbance(gateway);
+        self.end_after(2_500, FaultEnd::Resume(gateway));
         Some("pause")
     }
 
-    fn harm(&mut self, link: usize) -> Option<&'static str> {
+    fn degrade_link(&mut self, link: usize) -> Option<&'static str> {
         let delay = Duration::from_millis(self.rng.u64(5..300));
         let (state, kind) = match self.rng.u8(..3) {
             0 => (Link::Delay(delay), "delay"),
@@ -297,7 +298,7 @@
             _ => (Link::OneWay, "one_way"),
         };
         self.links[link].set_link(state);
-        self.after(3_000, Mend::Link(link));
+        self.end_after(3_000, FaultEnd::Link(link));
         Some(kind)
     }
 
@@ -311,20 +312,20 @@
             }
         };
         self.site.store(mode);
-        self.after(2_500, Mend::Store);
+        self.end_after(2_500, FaultEnd::Store);
         Some(kind)
     }
 
-    fn misbehave(&mut self, upstream: usize) -> Option<&'static str> {
+    fn set_faulty_behaviour(&mut self, upstream: usize) -> Option<&'static str> {
         let behaviour = BEHAVIOURS[self.rng.usize(..BEHAVIOURS.len())];
         self.site.behave(Some(&self.upstreams[upstream]), behaviour);
-        self.after(2_000, Mend::Behave(upstream));
+        self.end_after(2_000, FaultEnd::Behave(upstream));
         Some(behaviour)
     }
 
-    fn lapse(&mut self, upstream: usize) -> Option<&'static str> {
+    fn remove_row(&mut self, upstream: usize) -> Option<&'static str> {
         self.site.control("/remove", &json!({ "id": self.upstreams[upstream] }));
-        self.after(1_500, Mend::Row(upstream));
+        self.end_after(1_500, FaultEnd::Row(upstream));
         Some("lapse")
     }
 
@@ -334,32 +335,34 @@
         Some("configuration")
     }
 
-    fn mend(&mut self, now: Instant) {
+    fn end_due_faults(&mut self, now: Instant) {
         let due = std::mem::take(&mut self.due);
         let (over, later): (Vec<_>, Vec<_>) = due.into_iter().partition(|(at, _)| *at <= now);
         self.due = later;
-        for (_, mend) in over {
-            self.end(mend);
+        for (_, fault_end) in over {
+            self.end_fault(fault_end);
         }
     }
 
-    fn end(&mut self, mend: Mend) {
-        match mend {
-            Mend::Start(n) if self.site.gateways[n].has_ended() => {
+    fn end_fault(&mut self, fault_end: FaultEnd) {
+        match fault_end {
+            FaultEnd::Start(n) if self.site.gateways[n].has_ended() => {
                 self.site.gateways[n].restart();
-                self.disturb(n);
+                self.record_disturbance(n);
             }
-            // It is still leaving.
-            Mend::Start(_) => self.due.push((Instant::now() + Duration::from_millis(100), mend)),
-            Mend::Resume(n) => {
+            // The process is still draining.
+            FaultEnd::Start(_) => {
+                self.due.push((Instant::now() + Duration::from_millis(100), fault_end))
+            }
+            FaultEnd::Resume(n) => {
                 self.site.gateways[n].signal(Signal::SIGCONT);
-                self.disturb(n);
+                self.record_disturbance(n);
             }
-            Mend::Link(n) => self.links[n].set_link(Link::Pass),
-            Mend::Store => self.site.store("up"),
-            Mend::Behave(n) => self.site.behave(Some(&self.upstreams[n]), "serve"),
-            Mend::Signal(n) => self.end_signal(n),
-            Mend::Row(n) => {
+            FaultEnd::Link(n) => self.links[n].set_link(Link::Pass),
+            FaultEnd::Store => self.site.store("up"),
+            FaultEnd::Behave(n) => self.site.behave(Some(&self.upstreams[n]), "serve"),
+            FaultEnd::Signal(n) => self.end_signal(n),
+            FaultEnd::Row(n) => {
                 let row = json!({ "id": self.upstreams[n], "back": true });
                 self.site.control("/remove", &row);
             }
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,5 @@
-//! A loopback proxy whose links can be delayed, silenced, cut one way or reset.
+//! A loopback TCP proxy whose connections can be delayed, stalled in one or both directions,
+//! or reset.
 
 use std::{
     io::{Read, Write},
@@ -11,21 +12,21 @@
     time::Duration,
 };
 
-/// How the proxy treats bytes.
+/// How the proxy forwards bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Link {
-    /// Passes them on.
+    /// Forwards them at once.
     Pass,
-    /// Passes them on late.
+    /// Forwards each read after a delay.
     Delay(Duration),
-    /// Holds them in both directions.
+    /// Forwards nothing in either direction.
     Silent,
-    /// Holds what comes back.
+    /// Forwards nothing from the target to the caller.
     OneWay,
 }
 
-/// Between looks at a link that holds bytes.
-const LOOK: Duration = Duration::from_millis(10);
+/// Interval at which connections check for a reset or a change of the link.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 #[derive(Debug)]
 struct State {
@@ -35,16 +36,17 @@
     generation: AtomicU64,
 }
 
-/// A proxy before one address.
+/// A proxy in front of one target address.
 #[derive(Clone, Debug)]
 pub struct Proxy {
     state: Arc<State>,
-    /// Where it listens.
+    /// The address that the proxy listens on.
     pub address: SocketAddr,
 }
 
 impl Proxy {
-    /// Starts a proxy; connections wait until its target is known.
+    /// Starts a proxy without a target: connections are closed until [`Proxy::set_target`] is
+    /// called.
     pub fn start() -> Self {
         let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -56,7 +58,7 @@
         let accepting = state.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                accepting.join(stream);
+                accepting.open_connection(stream);
             }
         });
         Self { state, address }
@@ -70,37 +72,41 @@
         *self.state.link.lock().expect("no panic") = link;
     }
 
-    /// Ends all connections of now.
+    /// Closes all connections that are open now.
     pub fn reset(&self) {
         self.state.generation.fetch_add(1, Ordering::SeqCst);
     }
 }
 
 impl State {
-    fn join(self: &Arc<Self>, near: TcpStream) {
+    fn open_connection(self: &Arc<Self>, caller: TcpStream) {
         let target = *self.target.lock().expect("no panic");
-        let Some(far) = target.and_then(|t| TcpStream::connect(t).ok()) else {
-            // Dropping it resets the caller's connection.
+        let Some(target_stream) = target.and_then(|t| TcpStream::connect(t).ok()) else {
+            // Returning drops the stream, which closes the caller's connection.
             return;
         };
         let generation = self.generation.load(Ordering::SeqCst);
-        for (from, to, back) in [(&near, &far, false), (&far, &near, true)] {
+        for (from, to, to_caller) in
+            [(&caller, &target_stream, false), (&target_stream, &caller, true)]
+        {
             let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else {
                 return;
             };
             let state = self.clone();
-            thread::spawn(move || state.copy(from, to, back, generation));
+            thread::spawn(move || state.copy(from, to, to_caller, generation));
         }
     }
 
-    fn copy(&self, mut from: TcpStream, mut to: TcpStream, back: bool, generation: u64) {
-        let limit = from.set_read_timeout(Some(LOOK)).and(to.set_nodelay(true));
+    fn copy(&self, mut from: TcpStream, mut to: TcpStream, to_caller: bool, generation: u64) {
+        let limit = from.set_read_timeout(Some(POLL_INTERVAL)).and(to.set_nodelay(true));
         let mut buf = [0; 16 << 10];
         while limit.is_ok() && self.generation.load(Ordering::SeqCst) == generation {
             match from.read(&mut buf) {
                 Ok(0) => break,
                 Ok(n) => {
-                    if !self.may_pass(back, generation) || to.write_all(&buf[..n]).is_err() {
+                    if !self.wait_to_forward(to_caller, generation)
+                        || to.write_all(&buf[..n]).is_err()
+                    {
                         break;
                     }
                 }
@@ -108,14 +114,14 @@
                 Err(_) => break,
             }
         }
-        // Whichever side ended, the other learns of it.
+        // Closes both sides, whichever one ended first.
         for stream in [&from, &to] {
             drop(stream.shutdown(Shutdown::Both));
         }
     }
 
-    /// Waits until bytes may pass; `false` if the connection was reset.
-    fn may_pass(&self, back: bool, generation: u64) -> bool {
+    /// Waits until bytes may be forwarded; returns `false` if the connection was reset.
+    fn wait_to_forward(&self, to_caller: bool, generation: u64) -> bool {
         loop {
             if self.generation.load(Ordering::SeqCst) != generation {
                 return false;
@@ -123,12 +129,12 @@
             let link = *self.link.lock().expect("no panic");
             match link {
                 Link::Pass => return true,
-                Link::OneWay if !back => return true,
+                Link::OneWay if !to_caller => return true,
                 Link::Delay(time) => {
                     thread::sleep(time);
                     return true;
                 }
-                Link::Silent | Link::OneWay => thread::sleep(LOOK),
+                Link::Silent | Link::OneWay => thread::sleep(POLL_INTERVAL),
             }
         }
     }
--- a/tests/soak/removals.rs
+++ b/tests/soak/removals.rs
@@ -1,5 +1,6 @@
-//! Rows that disappear in an outage after the faults: an upstream that leaves without a word,
-//! and rows that lapse though their upstreams live. Both promises hold side by side.
+//! Checks rows that disappear during a store outage after the faults: the row of an upstream
+//! that leaves without announcing it, and rows that expire although their upstreams still run.
+//! The first must get no more requests; the others must not all be excluded.
 
 use std::{collections::HashSet, thread, time::Duration};
 
@@ -11,53 +12,54 @@
     signals::{LEAVING_HOLDS_AFTER, arrivals},
 };
 
-/// For how long the store is silent.
+/// Time for which the store does not answer.
 const OUTAGE: Duration = Duration::from_millis(1_500);
-/// Time before the store's return at which the rows disappear.
-const BEFORE: Duration = Duration::from_millis(100);
-/// For how long it is looked whether the upstream that left gets requests.
-const LOOK: Duration = Duration::from_millis(3_500);
-/// Between the returns of two rows that lapsed.
-const BETWEEN: Duration = Duration::from_millis(200);
+/// Time between the removal of the rows and the end of the outage.
+const REMOVAL_BEFORE_END: Duration = Duration::from_millis(100);
+/// Time for which the upstream that left is watched for requests.
+const OBSERVATION_TIME: Duration = Duration::from_millis(3_500);
+/// Interval at which expired rows are written back.
+const ROW_WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Returns a line for each promise that is broken. All upstreams are listed in the end.
-pub fn broken_by_removals(site: &Site, upstreams: &[String]) -> Vec<String> {
-    let mut broken = Vec::new();
+/// Returns a message for each violated guarantee. The rows of all upstreams are back when the
+/// function returns.
+pub fn violations_by_removals(site: &Site, upstreams: &[String]) -> Vec<String> {
+    let mut violations = Vec::new();
     if let Some(leaving) = upstreams.first() {
         let removed = outage(site, std::slice::from_ref(leaving));
-        thread::sleep(LOOK);
+        thread::sleep(OBSERVATION_TIME);
         let late = arrivals(&site.seen(), leaving);
         let late = late.iter().filter(|a| a.at > removed + LEAVING_HOLDS_AFTER).count();
         if late > 0 {
-            broken.push(format!("{leaving} left and got {late} requests too late"));
+            violations.push(format!("{leaving} left and received {late} requests too late"));
         }
         write_row(site, leaving, true);
-        thread::sleep(BETWEEN);
+        thread::sleep(ROW_WRITE_INTERVAL);
     }
     let from = unix_millis();
     outage(site, upstreams);
     for id in upstreams {
-        thread::sleep(BETWEEN);
+        thread::sleep(ROW_WRITE_INTERVAL);
         write_row(site, id, true);
     }
-    thread::sleep(BETWEEN);
+    thread::sleep(ROW_WRITE_INTERVAL);
     for (n, gateway) in site.gateways.iter().enumerate() {
-        let refused = refused_untried(&gateway.log(), from);
+        let refused = refused_without_attempt(&gateway.log(), from);
         if refused > 0 {
-            broken.push(format!("gateway {}: left out all upstreams {refused} times", n + 1));
+            violations.push(format!("gateway {}: excluded all upstreams {refused} times", n + 1));
         }
     }
-    broken
+    violations
 }
 
-/// Lets the store be silent and the rows disappear before it is back; returns when they did,
-/// by the store's clock.
+/// Stops the store from answering and removes the rows shortly before it answers again.
+/// Returns the time of the removal by the store's clock.
 fn outage(site: &Site, removed: &[String]) -> Duration {
     site.store("silent");
-    thread::sleep(OUTAGE - BEFORE);
+    thread::sleep(OUTAGE - REMOVAL_BEFORE_END);
     removed.iter().for_each(|id| write_row(site, id, false));
     let at = site.emulator_now();
-    thread::sleep(BEFORE);
+    thread::sleep(REMOVAL_BEFORE_END);
     site.store("up");
     at
 }
@@ -66,12 +68,12 @@
     site.control("/remove", &json!({ "id": id, "back": back }));
 }
 
-/// Returns how many requests since `from` were refused without an attempt, as no upstream was
-/// known to take work.
-fn refused_untried(log: &[Value], from: u64) -> usize {
+/// Returns how many requests since `from` were refused without an attempt because the gateway
+/// knew of no available upstream.
+fn refused_without_attempt(log: &[Value], from: u64) -> usize {
     let attempts = log.iter().filter(|l| l["event"] == "attempt");
-    let tried: HashSet<&str> = attempts.filter_map(|l| l["request"].as_str()).collect();
+    let attempted: HashSet<&str> = attempts.filter_map(|l| l["request"].as_str()).collect();
     let refused = log.iter().filter(|l| l["event"] == "answered" && l["outcome"] == "no_room");
     let refused = refused.filter(|l| l["time_ms"].as_u64() >= Some(from));
-    refused.filter(|l| l["request"].as_str().is_some_and(|r| !tried.contains(r))).count()
+    refused.filter(|l| l["request"].as_str().is_some_and(|r| !attempted.contains(r))).count()
 }
--- a/tests/soak/signals.rs
+++ b/tests/soak/signals.rs
@@ -1,116 +1,117 @@
-//! What upstreams ask for in their answers while gateways fail, and whether they got it.
+//! Checks that gateways follow the signals in upstream responses while faults are injected.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
 use serde_json::Value;
 
-use super::callers::Sent;
+use super::callers::SentRequest;
 use crate::support::signals::{
     Arrival, COOLDOWN_HOLDS_AFTER, LEAVING_HOLDS_AFTER, LIMIT_HOLDS_AFTER,
     TOLERATED_DURING_COOLDOWN, arrivals, max_in_window, tolerated_in_window,
 };
 
-/// Time from an answer until its gateway is held to what it says. The answer may take a while
-/// to be given and passed on.
-const TOLD_AFTER: Duration = Duration::from_secs(1);
+/// Time after a request's arrival from which its gateway must follow the signal in the response.
+/// The response may take a while to be produced and forwarded.
+const SIGNAL_KNOWN_AFTER: Duration = Duration::from_secs(1);
 
-/// What an upstream asks for.
+/// A signal that an upstream sends in its responses.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Asked {
-    /// So many requests a second from all gateways.
-    Limit(f64),
-    /// No requests any more.
+pub enum UpstreamSignal {
+    /// Maximum rate from all gateways together, in requests per second.
+    RateLimit(f64),
+    /// The upstream wants no further requests.
     Leaving,
-    /// No requests for a while from each gateway that it turns away.
-    Rest(Duration),
+    /// No requests for this time from each gateway that gets a refusal.
+    Cooldown(Duration),
 }
 
-/// A time in which an upstream asks for something, by the emulator's clock.
+/// A period in which an upstream sends a signal, by the emulator's clock.
 #[derive(Clone, Debug)]
-pub struct Spell {
+pub struct SignalPeriod {
     pub upstream: String,
-    pub asked: Asked,
+    pub signal: UpstreamSignal,
     pub from: Duration,
     /// `None` while it lasts.
     pub until: Option<Duration>,
 }
 
-/// What happened to gateways: which, and when by the emulator's clock.
-pub type Disturbed = Vec<(usize, Duration)>;
+/// Faults of gateways: the index of the gateway and the time by the emulator's clock.
+pub type Disturbances = Vec<(usize, Duration)>;
 
-/// Returns a line for each time that an upstream did not get what it asked for from gateways
-/// that knew and were not disturbed since.
+/// Returns a message for each signal that was ignored by gateways that had received it and had
+/// no fault since.
 pub fn ignored_signals(
-    spells: &[Spell],
-    disturbed: &Disturbed,
+    periods: &[SignalPeriod],
+    disturbances: &Disturbances,
     gateways: &[SocketAddr],
-    sent: &[Sent],
+    sent: &[SentRequest],
     seen: &Value,
 ) -> Vec<String> {
     let by_request: HashMap<&str, usize> = sent
         .iter()
         .filter_map(|s| Some((s.id.as_str(), gateways.iter().position(|g| *g == s.to)?)))
         .collect();
-    spells.iter().filter_map(|s| ignored(s, disturbed, &by_request, seen)).collect()
+    periods.iter().filter_map(|s| ignored_signal(s, disturbances, &by_request, seen)).collect()
 }
 
-fn ignored(
-    spell: &Spell,
-    disturbed: &Disturbed,
+fn ignored_signal(
+    period: &SignalPeriod,
+    disturbances: &Disturbances,
     by_request: &HashMap<&str, usize>,
     seen: &Value,
 ) -> Option<String> {
-    let until = spell.until.unwrap_or(Duration::MAX);
-    let during: Vec<(usize, Arrival)> = arrivals(seen, &spell.upstream)
+    let until = period.until.unwrap_or(Duration::MAX);
+    let during: Vec<(usize, Arrival)> = arrivals(seen, &period.upstream)
         .into_iter()
-        .filter(|a| (spell.from..until).contains(&a.at))
+        .filter(|a| (period.from..until).contains(&a.at))
         .filter_map(|a| Some((*by_request.get(a.request.as_str())?, a)))
         .collect();
-    // A gateway that was disturbed between two moments is not held to what it knew.
-    let steady = |gateway: usize, from: Duration, to: Duration| {
-        !disturbed.iter().any(|(g, at)| *g == gateway && (from..=to).contains(at))
+    // A gateway that was disturbed in between need not remember the signal.
+    let undisturbed = |gateway: usize, from: Duration, to: Duration| {
+        !disturbances.iter().any(|(g, at)| *g == gateway && (from..=to).contains(at))
     };
-    let (got, most) = match spell.asked {
-        Asked::Limit(rate) => {
-            let told = |gateway: usize, at: Duration| {
-                let answered = during
-                    .iter()
-                    .find(|(g, a)| *g == gateway && a.status > 0 && a.at + TOLD_AFTER <= at);
-                answered.is_some() && steady(gateway, spell.from, at)
+    let (received, allowed) = match period.signal {
+        UpstreamSignal::RateLimit(rate) => {
+            let informed = |gateway: usize, at: Duration| {
+                let answered = during.iter().find(|(g, a)| {
+                    *g == gateway && a.status > 0 && a.at + SIGNAL_KNOWN_AFTER <= at
+                });
+                answered.is_some() && undisturbed(gateway, period.from, at)
             };
             let counted: Vec<Arrival> =
-                during.iter().filter(|(g, a)| told(*g, a.at)).map(|(_, a)| a.clone()).collect();
+                during.iter().filter(|(g, a)| informed(*g, a.at)).map(|(_, a)| a.clone()).collect();
             (
-                max_in_window(&counted, spell.from + LIMIT_HOLDS_AFTER, until),
+                max_in_window(&counted, period.from + LIMIT_HOLDS_AFTER, until),
                 tolerated_in_window(rate),
             )
         }
-        Asked::Leaving => {
-            let told = |gateway: usize, late: &Arrival| {
+        UpstreamSignal::Leaving => {
+            let informed = |gateway: usize, late: &Arrival| {
                 during.iter().find(|(g, a)| {
                     *g == gateway
                         && a.status > 0
-                        && a.at + TOLD_AFTER + LEAVING_HOLDS_AFTER < late.at
-                        && steady(*g, a.at, late.at)
+                        && a.at + SIGNAL_KNOWN_AFTER + LEAVING_HOLDS_AFTER < late.at
+                        && undisturbed(*g, a.at, late.at)
                 })
             };
             let late = during.iter().filter_map(|(gateway, late)| {
-                told(*gateway, late).map(|(_, told)| (*gateway, late, told))
+                informed(*gateway, late).map(|(_, informed)| (*gateway, late, informed))
             });
             let late: Vec<_> = late.collect();
-            late.iter().for_each(|late| println!("gateway, late, told: {late:?}"));
+            late.iter().for_each(|late| println!("gateway, late, informed: {late:?}"));
             (late.len(), 0)
         }
-        Asked::Rest(rest) => {
-            let during_rest = |(gateway, asked): &(usize, Arrival)| {
-                let span = asked.at + COOLDOWN_HOLDS_AFTER..asked.at + rest;
+        UpstreamSignal::Cooldown(cooldown) => {
+            let during_cooldown = |(gateway, refused): &(usize, Arrival)| {
+                let span = refused.at + COOLDOWN_HOLDS_AFTER..refused.at + cooldown;
                 let of_gateway =
                     during.iter().filter(|(g, a)| g == gateway && span.contains(&a.at));
-                of_gateway.filter(|(g, a)| steady(*g, asked.at, a.at)).count()
+                of_gateway.filter(|(g, a)| undisturbed(*g, refused.at, a.at)).count()
             };
-            let asked = during.iter().filter(|(_, a)| a.status == 503);
-            (asked.map(during_rest).max().unwrap_or_default(), TOLERATED_DURING_COOLDOWN)
+            let refused = during.iter().filter(|(_, a)| a.status == 503);
+            (refused.map(during_cooldown).max().unwrap_or_default(), TOLERATED_DURING_COOLDOWN)
         }
     };
-    (got > most).then(|| format!("{spell:?}: {got} requests, {most} are borne"))
+    (received > allowed)
+        .then(|| format!("{period:?}: {received} requests, at most {allowed} allowed"))
 }
--- a/tests/support/gateways.rs
+++ b/tests/support/gateways.rs
@@ -1,4 +1,4 @@
-//! The emulated platform and gateways before it, as processes on loopback.
+//! Runs the emulated platform and gateways in front of it as processes on loopback.
 
 use std::{
     fmt::Write as _,
@@ -24,24 +24,24 @@
 
 use super::{proc::Proc, wait_until};
 
-/// Generous bound on a call: a test that meets it has failed.
-const CALL_LIMIT: Duration = Duration::from_secs(40);
-/// First of the five ports of a gateway.
+/// Time limit of a call, generous enough that only a faulty gateway reaches it.
+const CALL_TIMEOUT: Duration = Duration::from_secs(40);
+/// First of the five consecutive ports of a gateway.
 const FIRST_PORT: u16 = 7_001;
-/// Addresses that a caller is told at most.
-const MOST_TOLD: usize = 64;
-/// Host of all routes.
+/// Maximum number of gateway addresses that a lookup returns.
+const MAX_LOOKUP_ADDRESSES: usize = 64;
+/// Host name of all routes.
 pub const HOST: &str = "assistant.example";
-/// Key of the customer `temple`.
+/// API key of the customer `temple`.
 pub const KEY: &str = "temple-key";
 
-/// An answer, perhaps broken off.
+/// A response, which may be truncated.
 #[derive(Debug)]
 pub struct Answer {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: String,
-    /// Whether it ended as it should.
+    /// Whether the body was received without an error up to its end.
     pub complete: bool,
 }
 
@@ -57,14 +57,14 @@
     }
 }
 
-/// A call to be made.
+/// An HTTP request that a test sends.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub method: &'static str,
     pub path: String,
     pub headers: Vec<(&'static str, String)>,
     pub body: String,
-    /// When the caller leaves, if it does.
+    /// Time after which the caller disconnects; `None` if it waits for the response.
     pub leaves_after: Option<Duration>,
 }
 
@@ -79,7 +79,7 @@
         Self { method, path: path.to_owned(), headers, body: String::new(), leaves_after: None }
     }
 
-    /// A request to a model engine for so many events.
+    /// Returns a request to a model engine for a stream of `events` events.
     pub fn stream(path: &str, id: &str, events: u64) -> Self {
         let mut call = Self::new("POST", path, id);
         call.headers.push(("x-token-usage", format!("600,{}", events * 3)));
@@ -99,20 +99,21 @@
         self
     }
 
-    /// Makes the call; `None` if the caller left, or nobody answered.
+    /// Sends the call on a new connection. Returns `None` if the caller disconnected first or no
+    /// response arrived.
     pub fn send(&self, to: SocketAddr) -> Option<Answer> {
         let runtime = Builder::new_current_thread().enable_all().build().expect("a runtime");
-        let limit = self.leaves_after.unwrap_or(CALL_LIMIT);
+        let limit = self.leaves_after.unwrap_or(CALL_TIMEOUT);
         LocalSet::new()
             .block_on(&runtime, async { timeout(limit, self.exchange(to)).await.ok().flatten() })
     }
 
     async fn exchange(&self, to: SocketAddr) -> Option<Answer> {
-        let mut connection = connect(to, CALL_LIMIT).await.ok()?;
+        let mut connection = connect(to, CALL_TIMEOUT).await.ok()?;
         self.exchange_on(&mut connection).await
     }
 
-    /// Makes the call on an open connection.
+    /// Sends the call on an open connection.
     pub async fn exchange_on(&self, connection: &mut HttpConnection) -> Option<Answer> {
         connection.ready().await.ok()?;
         let mut request = Request::builder().method(self.method).uri(&self.path);
@@ -137,7 +138,7 @@
     }
 }
 
-/// One gateway.
+/// A gateway, whose process can be stopped and started again.
 pub struct GatewayProc {
     child: Child,
     pub callers: SocketAddr,
@@ -155,21 +156,21 @@
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Starts the process again, once the earlier one has ended.
+    /// Starts a new process; the earlier one must have ended.
     pub fn restart(&mut self) {
         self.child = spawn(&self.settings, &self.log);
         self.starts += 1;
     }
 
-    /// Returns whether its newest process has come as far as its first line in
-    /// the log: before that nobody can handle a signal for it.
+    /// Returns whether the latest process has logged its start. Before that its signal handlers
+    /// may not be installed, so a signal would terminate it.
     pub fn has_started(&self) -> bool {
         let log = self.log();
         log.iter().filter(|l| l["event"] == "started").count() >= self.starts
     }
 
     pub fn signal(&self, signal: Signal) {
-        kill(Pid::from_raw(self.child.id() as i32), signal).expect("the process is there");
+        kill(Pid::from_raw(self.child.id() as i32), signal).expect("the process exists");
     }
 
     pub fn kill(&mut self) {
@@ -180,17 +181,17 @@
     pub fn wait(&mut self) -> bool {
         let mut status = None;
         wait_until("the gateway has ended", || {
-            status = self.child.try_wait().expect("the process is ours");
+            status = self.child.try_wait().expect("the process is a child of this one");
             status.is_some()
         });
         status.is_some_and(|s| s.success())
     }
 
-    /// Fails the test if the process has ended, with what it said.
-    fn must_run(&self) {
+    /// Panics with the process's standard error if the process has ended.
+    fn assert_running(&self) {
         let stat = fs::read_to_string(format!("/proc/{}/stat", self.child.id()));
         let ended = stat.map_or(true, |s| s.contains(") Z "));
-        assert!(!ended, "the gateway ended at its start: {}", self.said());
+        assert!(!ended, "the gateway exited during startup: {}", self.said());
     }
 
     pub fn is_ready(&self) -> bool {
@@ -198,7 +199,7 @@
         call.send(self.readiness).is_some_and(|a| a.status == StatusCode::OK)
     }
 
-    /// Returns the addresses that callers are told.
+    /// Returns the gateway addresses that a lookup by a caller returns.
     pub fn told(&self) -> Vec<String> {
         let answer = Call::new("GET", "/resolve?name=assistant.example", "lookup");
         let Some(answer) = answer.send(self.directory) else {
@@ -209,18 +210,18 @@
         list.iter().filter_map(|a| a.as_str().map(str::to_owned)).collect()
     }
 
-    /// Returns the lines of the log.
+    /// Returns the parsed lines of the log, over all processes of this gateway.
     pub fn log(&self) -> Vec<Value> {
-        let text = fs::read_to_string(&self.log).expect("the log is there");
+        let text = fs::read_to_string(&self.log).expect("the log is readable");
         text.lines().filter_map(|l| serde_json::from_str(l).ok()).collect()
     }
 
-    /// Returns what it wrote to standard error.
+    /// Returns what the gateway wrote to standard error.
     pub fn said(&self) -> String {
         fs::read_to_string(self.log.with_extension("err")).unwrap_or_default()
     }
 
-    /// Returns the lines of the log about a request.
+    /// Returns the log lines about a request, in order.
     pub fn story(&self, request: &str) -> Vec<Value> {
         self.log().into_iter().filter(|l| l["request"] == request).collect()
     }
@@ -237,7 +238,7 @@
     }
 }
 
-/// The emulated platform and gateways before it.
+/// The emulated platform and the gateways in front of it.
 pub struct Site {
     emulator: Proc,
     pub gateways: Vec<GatewayProc>,
@@ -245,8 +246,9 @@
 }
 
 impl Site {
-    /// Starts the platform with the usual configuration and so many gateways,
-    /// engines and plain upstreams, and waits until all are known.
+    /// Starts the platform with the default configuration and the given number of gateways,
+    /// model engines and plain upstreams, and waits until the gateways are ready and know each
+    /// other.
     pub fn start(gateways: usize, engines: usize, plain: usize) -> Self {
         let mut site = Self::bare();
         site.configure(&configuration(7));
@@ -257,16 +259,16 @@
         site
     }
 
-    /// Starts a platform that knows nothing.
+    /// Starts a platform without configuration, gateways or upstreams.
     pub fn bare() -> Self {
         let none: [&str; 0] = [];
         let emulator = Proc::start(env!("CARGO_BIN_EXE_tackhollow-emulator"), none);
-        Self { emulator, gateways: Vec::new(), dir: TempDir::new().expect("a folder") }
+        Self { emulator, gateways: Vec::new(), dir: TempDir::new().expect("a temporary directory") }
     }
 
     pub fn wait_ready(&self) {
-        let all = self.gateways.len().min(MOST_TOLD);
-        let running = || self.gateways.iter().for_each(GatewayProc::must_run);
+        let all = self.gateways.len().min(MAX_LOOKUP_ADDRESSES);
+        let running = || self.gateways.iter().for_each(GatewayProc::assert_running);
         wait_until("all gateways are ready", || {
             running();
             self.gateways.iter().all(GatewayProc::is_ready)
@@ -276,29 +278,30 @@
         });
     }
 
-    /// Starts a gateway.
+    /// Starts a gateway that connects to the platform directly.
     pub fn add_gateway(&mut self) {
         let (store, api) = (self.emulator.address("store"), self.emulator.address("api"));
         self.add_gateway_at(store, api);
     }
 
-    /// Returns an address of the emulator.
+    /// Returns the address of one of the emulator's listeners.
     pub fn emulator_address(&self, name: &str) -> SocketAddr {
         self.emulator.address(name)
     }
 
-    /// Starts a gateway that reaches the platform at these addresses.
+    /// Starts a gateway that connects to the platform at the given addresses, such as those of
+    /// proxies.
     pub fn add_gateway_at(&mut self, store: SocketAddr, api: SocketAddr) {
         let n = self.gateways.len() + 1;
         let settings = self.dir.path().join(format!("gateway-{n}.toml"));
-        let ports: Vec<SocketAddr> = (0..5).map(|i| own_address(n, FIRST_PORT + i)).collect();
+        let ports: Vec<SocketAddr> = (0..5).map(|i| loopback_address(n, FIRST_PORT + i)).collect();
         let mut text = format!("id = \"gateway-{n}\"\ndata_centre = \"bkk-nont\"\n[listen]\n");
         let names = ["callers", "directory", "readiness", "peers", "heartbeats"];
         for (name, address) in names.iter().zip(&ports) {
-            writeln!(text, "{name} = \"{address}\"").expect("writing to a text");
+            writeln!(text, "{name} = \"{address}\"").expect("writing to a string succeeds");
         }
         write!(text, "[platform]\nstore = \"{store}\"\napi = \"{api}\"\n")
-            .expect("writing to a text");
+            .expect("writing to a string succeeds");
         text.push_str("[bounds]\nusage_window_s = 1\nexposure_slack = 20\n");
         fs::write(&settings, text).expect("the settings are written");
         let log = self.dir.path().join(format!("gateway-{n}.log"));
@@ -309,7 +312,7 @@
         self.gateways.push(gateway);
     }
 
-    /// Makes a control call to the emulator.
+    /// Sends a control call to the emulator and returns the body of the response.
     pub fn control(&self, path: &str, body: &Value) -> Value {
         let mut call = Call::new("POST", path, "control");
         call.body = body.to_string();
@@ -327,7 +330,7 @@
         started["id"].as_str().expect("an id").to_owned()
     }
 
-    /// Starts an upstream of a version at which each request takes some time.
+    /// Starts an upstream with this version, where each request takes `work`.
     pub fn add_upstream_of(&self, service: &str, version: &str, work: Duration) -> String {
         let ask = json!({
             "service": service, "zone": "bkk-nont", "version": version,
@@ -336,7 +339,7 @@
         self.control("/engine", &ask)["id"].as_str().expect("an id").to_owned()
     }
 
-    /// Writes an order to roll out a version, as the operator would.
+    /// Writes a roll-out order for a version, as an operator would.
     pub fn roll_out(&self, service: &str, version: &str, duration: Duration) {
         let order = json!({
             "service": service, "destination": version, "durationS": duration.as_secs_f64(),
@@ -344,14 +347,14 @@
         self.control("/rollout", &json!({ "service": service, "order": order }));
     }
 
-    /// Returns the state that is written of a service's roll-out; empty if none is.
+    /// Returns the published state of a service's roll-out; empty if there is none.
     pub fn rollout_state(&self, service: &str) -> String {
         let status = &self.seen()["status"][format!("rollout/{service}")];
         status["state"].as_str().unwrap_or_default().to_owned()
     }
 
-    /// Starts an upstream whose row names another address; returns its id and
-    /// its own address.
+    /// Starts an upstream whose row names another address, such as that of a proxy. Returns its
+    /// id and its real address.
     pub fn add_upstream_behind(&self, service: &str, named: SocketAddr) -> (String, SocketAddr) {
         let ask = json!({ "service": service, "zone": "bkk-nont", "address": named });
         let started = self.control("/engine", &ask);
@@ -364,17 +367,18 @@
         self.control("/behaviour", &json!({ "id": id, "behaviour": behaviour }));
     }
 
-    /// Starts an upstream again under its id, at this time by its clock.
+    /// Restarts an upstream under the same id; `born` is its start time in Unix milliseconds by
+    /// its own clock.
     pub fn restart_upstream(&self, id: &str, born: u64) {
         self.control("/restart", &json!({ "id": id, "born": born }));
     }
 
-    /// Writes an upstream's row as another writer would.
+    /// Overwrites an upstream's row, as another writer of the store would.
     pub fn write_entry(&self, id: &str, text: &str) {
         self.control("/entry", &json!({ "id": id, "text": text }));
     }
 
-    /// Returns the logs of all gateways.
+    /// Returns the paths of the logs of all gateways.
     pub fn logs(&self) -> Vec<PathBuf> {
         self.gateways.iter().map(|g| g.log.clone()).collect()
     }
@@ -387,28 +391,28 @@
         self.control("/seen", &Value::Null)
     }
 
-    /// Returns what the store's clock shows, in milliseconds.
+    /// Returns the time of the store's clock, in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.seen()["now_ms"].as_u64().expect("a time")
     }
 
-    /// Starts an upstream and waits until all gateways know it.
+    /// Starts an upstream and waits until all gateways have logged it.
     pub fn add_known_upstream(&self, service: &str) -> String {
         let id = self.add_upstream(service);
         self.wait_known(&id);
         id
     }
 
-    /// Waits until all gateways know an upstream.
+    /// Waits until all gateways have logged an upstream.
     pub fn wait_known(&self, id: &str) {
         let known = |l: &Value| l["event"] == "upstream" && l["upstream"] == id;
-        wait_until("all know the upstream", || {
+        wait_until("all gateways know the upstream", || {
             self.gateways.iter().all(|g| g.log().iter().any(known))
         });
     }
 
-    /// Sends calls that may be repeated at all gateways in turns for a while; returns those
-    /// that did not end well.
+    /// Sends idempotent calls to the gateways in turn for `time`. Returns the id and status of
+    /// each call that was not answered with 200.
     pub fn send_calls(&self, name: &str, time: Duration) -> Vec<String> {
         let until = Instant::now() + time;
         let mut failed = Vec::new();
@@ -427,7 +431,8 @@
         failed
     }
 
-    /// Returns when the newest run at an upstream began, by the store's clock.
+    /// Returns when the latest run at an upstream began, in milliseconds of the store's clock;
+    /// 0 if there was none.
     pub fn last_run(&self, upstream: &str) -> u64 {
         let seen = self.seen();
         let runs = seen["runs"].as_array().cloned().unwrap_or_default();
@@ -435,14 +440,14 @@
         there.filter_map(|r| r["began_ms"].as_u64()).max().unwrap_or_default()
     }
 
-    /// Returns the runs of a request, in order.
+    /// Returns the runs of a request at upstreams, in order.
     pub fn runs(&self, request: &str) -> Vec<Value> {
         let seen = self.seen();
         let runs = seen["runs"].as_array().cloned().unwrap_or_default();
         runs.into_iter().filter(|r| r["request"] == request).collect()
     }
 
-    /// Returns the calls to the API with this path.
+    /// Returns the calls that the platform's API received on this path.
     pub fn duties(&self, path: &str) -> Vec<Value> {
         let seen = self.seen();
         let duties = seen["duties"].as_array().cloned().unwrap_or_default();
@@ -450,7 +455,7 @@
     }
 }
 
-/// Starts a gateway's process; a log goes on after that of an earlier one.
+/// Starts a gateway's process, which appends to the log of an earlier one.
 fn spawn(settings: &Path, log: &Path) -> Child {
     let append =
         |path: &Path| fs::OpenOptions::new().create(true).append(true).open(path).expect("a file");
@@ -463,17 +468,16 @@
         .expect("the gateway starts")
 }
 
-/// Returns an address for the `n`th gateway of this test. Each has a loopback
-/// IP number of its own, so that no other process can take its ports between
-/// their choice and the gateway's start.
-fn own_address(n: usize, port: u16) -> SocketAddr {
+/// Returns an address for the `n`th gateway of this test. Each gateway has its own loopback IP
+/// address, so that no other process can take its ports before the gateway binds them.
+fn loopback_address(n: usize, port: u16) -> SocketAddr {
     let pid = std::process::id();
     let [high, low] = [(pid >> 8) as u8, pid as u8];
     SocketAddr::from(([127, high % 250 + 1, low, n as u8], port))
 }
 
-/// Returns the usual configuration: streams that may be resumed and that may
-/// not, calls that may be repeated and that may not.
+/// Returns the default configuration: routes for streams that may and must not be resumed, and
+/// for calls that may and must not be retried.
 pub fn configuration(version: u64) -> Value {
     let route = |prefix: &str, kind: &str, service: &str, timeout: u64, attempts: u32| {
         json!({
--- a/tests/support/http.rs
+++ b/tests/support/http.rs
@@ -1,11 +1,11 @@
-//! Plain HTTP calls of a test.
+//! Blocking HTTP calls for tests, each on a new connection.
 
 use std::{net::SocketAddr, time::Duration};
 
 use serde_json::Value;
 use tackhollow::edge::http_client::{HttpAnswer, HttpClient};
 
-const SILENCE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub fn call(method: &str, addr: SocketAddr, path: &str, body: &Value) -> HttpAnswer {
     call_as("", method, addr, path, body)
@@ -15,9 +15,9 @@
     let authorization = format!("Bearer {key}");
     let headers = [("authorization", authorization.as_str()), ("content-type", "application/json")];
     let body = if body.is_null() { String::new() } else { body.to_string() };
-    HttpClient::fresh(SILENCE)
+    HttpClient::fresh(IDLE_TIMEOUT)
         .call(method, &format!("http://{addr}{path}"), &headers, body.as_bytes())
-        .expect("an answer")
+        .expect("the server responds")
 }
 
 pub fn get_json(addr: SocketAddr, path: &str) -> Value {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,6 +1,7 @@
-//! Processes on loopback for the tests. Each is started and ended by its id.
+//! Helpers for tests that run real processes on loopback. A test signals and ends its processes
+//! by id.
 
-#![allow(dead_code, missing_docs, reason = "each test file uses a part of it")]
+#![allow(dead_code, missing_docs, reason = "each test file uses only some of the helpers")]
 
 pub mod cluster;
 pub mod crashes;
@@ -16,12 +17,12 @@
     time::{Duration, Instant},
 };
 
-/// Waits until a condition holds; panics after a generous bound.
+/// Waits until a condition holds. Panics after a generous timeout.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    const BOUND: Duration = Duration::from_secs(60);
-    let until = Instant::now() + BOUND;
+    const TIMEOUT: Duration = Duration::from_secs(60);
+    let deadline = Instant::now() + TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < until, "waited in vain until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {what}");
         thread::sleep(Duration::from_millis(20));
     }
 }
--- a/tests/support/proc.rs
+++ b/tests/support/proc.rs
@@ -1,4 +1,4 @@
-//! One process of a test.
+//! A child process of a test.
 
 use std::{
     ffi::OsStr,
@@ -15,14 +15,15 @@
 };
 use serde_json::Value;
 
-/// A process, killed when dropped.
+/// A child process, killed when dropped.
 pub struct Proc {
     child: Child,
     addresses: Value,
 }
 
 impl Proc {
-    /// Starts a program and reads the addresses that it prints.
+    /// Starts a program and reads the JSON object of its listen addresses from the first line of
+    /// its standard output.
     pub fn start<S: AsRef<OsStr>>(program: &str, args: impl IntoIterator<Item = S>) -> Self {
         let mut command = Command::new(program);
         command.args(args).stdout(Stdio::piped());
@@ -42,7 +43,7 @@
     }
 
     pub fn address(&self, name: &str) -> SocketAddr {
-        self.addresses[name].as_str().expect("an address").parse().expect("an address")
+        self.addresses[name].as_str().expect("a socket address").parse().expect("a socket address")
     }
 
     pub fn id(&self) -> u32 {
@@ -55,7 +56,7 @@
     }
 
     pub fn signal(&self, signal: Signal) {
-        kill(Pid::from_raw(self.child.id() as i32), signal).expect("the process is there");
+        kill(Pid::from_raw(self.child.id() as i32), signal).expect("the process exists");
     }
 
     pub fn pause(&self) {
@@ -70,14 +71,15 @@
         matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits until the process exits by itself; panics if it does not within the given time.
     pub fn wait(&mut self, within: Duration) -> ExitStatus {
-        let until = Instant::now() + within;
+        let deadline = Instant::now() + within;
         loop {
-            if let Some(status) = self.child.try_wait().expect("the process is ours") {
+            if let Some(status) = self.child.try_wait().expect("the process is a child of this one")
+            {
                 return status;
             }
-            assert!(Instant::now() < until, "the process did not end by itself");
+            assert!(Instant::now() < deadline, "the process did not exit in time");
             thread::sleep(Duration::from_millis(20));
         }
     }
