--- a/src/clock.rs
+++ b/src/clock.rs
@@ -66,7 +66,7 @@
 impl SuspensionWatch {
     /// Records a reading of [`Instant::now`] and one of [`now`]. Returns the length of the
     /// suspension since the previous reading, or `None` if there was none.
-    pub fn note(&mut self, steady: Instant, moment: Instant) -> Option<Duration> {
+    pub fn record(&mut self, steady: Instant, moment: Instant) -> Option<Duration> {
         let ahead = moment.saturating_duration_since(steady);
         let before = self.ahead.replace(ahead)?;
         let suspended = ahead.saturating_sub(before);
@@ -75,8 +75,8 @@
 
     /// Reads both clocks. If the host was suspended since the last call, wakes sleeping
     /// tasks and returns the length of the suspension.
-    pub fn look(&mut self) -> Option<Duration> {
-        let suspended = self.note(Instant::now(), now())?;
+    pub fn detect(&mut self) -> Option<Duration> {
+        let suspended = self.record(Instant::now(), now())?;
         RESUMED.with(|resumed| resumed.notify_waiters());
         Some(suspended)
     }
--- a/src/gateway/board/knowledge.rs
+++ b/src/gateway/board/knowledge.rs
@@ -5,32 +5,37 @@
 use super::{Board, StoreState};
 use crate::gateway::{
     decide::{KNOWLEDGE_OLD_AFTER, ReadAction, ReaderCandidate, SyncPoint, next_read_action},
-    model::Followed,
+    model::WatchedData,
     net::Phase,
 };
 
 impl Board {
     /// Returns up to where the store's contents are known; `None` if they were never read.
-    pub fn knowledge(&self, followed: Followed) -> Option<SyncPoint> {
+    pub fn knowledge(&self, followed: WatchedData) -> Option<SyncPoint> {
         match followed {
-            Followed::Configuration => self.configuration_knowledge,
-            Followed::Upstreams => self.upstreams_knowledge,
+            WatchedData::Configuration => self.configuration_knowledge,
+            WatchedData::Upstreams => self.upstreams_knowledge,
         }
     }
 
     /// Returns the age of the knowledge: the time since any gateway last saw that the store held
     /// nothing newer.
-    pub fn age(&self, followed: Followed, now: Instant) -> Option<Duration> {
+    pub fn age(&self, followed: WatchedData, now: Instant) -> Option<Duration> {
         self.store_clock.age(self.knowledge(followed)?.as_of, now)
     }
 
     /// Returns whether the knowledge is so old that newer contents may have been missed.
-    pub fn is_old(&self, followed: Followed, now: Instant) -> bool {
+    pub fn is_old(&self, followed: WatchedData, now: Instant) -> bool {
         self.age(followed, now).is_none_or(|age| age >= KNOWLEDGE_OLD_AFTER)
     }
 
     /// Returns whether and what this process reads now; `None` if it has to read everything first.
-    pub fn read_turn(&self, process: &str, followed: Followed, now: Instant) -> Option<ReadAction> {
+    pub fn read_turn(
+        &self,
+        process: &str,
+        followed: WatchedData,
+        now: Instant,
+    ) -> Option<ReadAction> {
         let age = self.age(followed, now)?;
         let store_now = self.store_clock.now(now)?;
         let own = ReaderCandidate {
--- a/src/gateway/board/mod.rs
+++ b/src/gateway/board/mod.rs
@@ -34,7 +34,7 @@
         ServiceRetryBudgets, SpeedModel, StoreClock, StoreMillis, StoreStability, SyncPoint,
         TrialTurn, UsageCounters,
     },
-    model::{Configuration, Followed, Lifetime, Revision, ServiceName, Upstream},
+    model::{Configuration, Lifetime, Revision, ServiceName, Upstream, WatchedData},
     peering::{LoadReport, PrefixReport, ProcessId, RecentChanges, SpeedReport, UpstreamSnapshot},
 };
 use crate::ids::{DataCentre, UpstreamId};
@@ -214,7 +214,7 @@
 
     /// Returns when the list of upstreams was last known to be up to date.
     fn upstreams_seen(&self, now: Instant) -> Instant {
-        let age = self.age(Followed::Upstreams, now).unwrap_or_default();
+        let age = self.age(WatchedData::Upstreams, now).unwrap_or_default();
         now.checked_sub(age).unwrap_or(now)
     }
 
--- a/src/gateway/context.rs
+++ b/src/gateway/context.rs
@@ -6,11 +6,11 @@
     board::{Board, StoreState},
     controllers::Controllers,
     decide::{LimitAnnouncement, QuarantineChange},
-    model::{Followed, Lifetime},
+    model::{Lifetime, WatchedData},
     net::{Phase, Pool, Shutdown},
     peering::ProcessId,
     reactor::ControllerWaker,
-    request::{EndChecks, Grants},
+    request::{PermitRequests, UpstreamProbes},
     telemetry::{Event, GatewayMetrics, Journal},
 };
 use crate::{
@@ -37,9 +37,9 @@
     /// Connection pool for upstreams.
     pub pool: Pool,
     /// Checks whether upstreams have terminated.
-    pub end_checks: EndChecks,
+    pub upstream_probes: UpstreamProbes,
     /// Borrows requests from other gateways' shares of upstream rate limits.
-    pub grants: Grants,
+    pub permit_requests: PermitRequests,
     /// Client of the platform's store.
     pub store: StoreClient,
     /// Client of the platform's API for engine orders and usage reports.
@@ -74,8 +74,8 @@
             started: clock::now(),
             board: RefCell::new(board),
             pool: Pool::default(),
-            end_checks: EndChecks::default(),
-            grants: Grants::default(),
+            upstream_probes: UpstreamProbes::default(),
+            permit_requests: PermitRequests::default(),
             store,
             duties,
             shutdown: Shutdown::default(),
@@ -106,7 +106,7 @@
 
     /// Returns the age of the knowledge of a followed table in milliseconds, for the log; `None` if
     /// it was never read.
-    pub fn knowledge_age_ms(&self, of: Followed, now: Instant) -> Option<u64> {
+    pub fn knowledge_age_ms(&self, of: WatchedData, now: Instant) -> Option<u64> {
         self.board.borrow().age(of, now).map(|age| age.as_millis() as u64)
     }
 
--- a/src/gateway/controllers/knowledge_age.rs
+++ b/src/gateway/controllers/knowledge_age.rs
@@ -6,7 +6,7 @@
 use crate::gateway::{
     context::Gateway,
     decide::KNOWLEDGE_OLD_AFTER,
-    model::Followed,
+    model::WatchedData,
     telemetry::{Event, KnowledgeLabels},
 };
 
@@ -14,13 +14,13 @@
 #[derive(Debug, Default)]
 pub(super) struct KnowledgeAges {
     /// Since when each followed table has been stale; `None` while it is up to date.
-    stale_since: [Option<Instant>; Followed::ALL.len()],
+    stale_since: [Option<Instant>; WatchedData::ALL.len()],
 }
 
 impl KnowledgeAges {
     /// Updates the age metrics and logs each change between stale and up to date.
     pub(super) fn update(&mut self, gateway: &Gateway, now: Instant) {
-        for (followed, stale_since) in Followed::ALL.into_iter().zip(&mut self.stale_since) {
+        for (followed, stale_since) in WatchedData::ALL.into_iter().zip(&mut self.stale_since) {
             let board = gateway.board.borrow();
             let Some(age) = board.age(followed, now) else {
                 continue;
--- a/src/gateway/controllers/peer_sync.rs
+++ b/src/gateway/controllers/peer_sync.rs
@@ -15,7 +15,7 @@
 use crate::gateway::{
     board::{Board, PeerView},
     context::Gateway,
-    model::Followed,
+    model::WatchedData,
     peering::UpstreamSnapshot,
 };
 
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 pub(super) struct PeerSync {
     gateway: Rc<Gateway>,
-    followed: Followed,
+    followed: WatchedData,
     behind_since: Option<Instant>,
     last_fetch: Option<Instant>,
     /// Whether a fetch is in flight: a second one at the same time would only compete with it
@@ -38,7 +38,7 @@
 }
 
 impl PeerSync {
-    pub(super) fn new(gateway: Rc<Gateway>, followed: Followed) -> Self {
+    pub(super) fn new(gateway: Rc<Gateway>, followed: WatchedData) -> Self {
         let fetching = Rc::default();
         Self { gateway, followed, behind_since: None, last_fetch: None, fetching }
     }
@@ -64,8 +64,8 @@
     fn fetch_delay(&self) -> Duration {
         let has_any = self.gateway.board.borrow().knowledge(self.followed).is_some();
         match self.followed {
-            Followed::Upstreams if has_any => UPSTREAMS_FETCH_DELAY,
-            Followed::Configuration | Followed::Upstreams => Duration::ZERO,
+            WatchedData::Upstreams if has_any => UPSTREAMS_FETCH_DELAY,
+            WatchedData::Configuration | WatchedData::Upstreams => Duration::ZERO,
         }
     }
 
@@ -90,28 +90,28 @@
     /// another gateway announces.
     fn known_by(&self, peer: &PeerView) -> u64 {
         match self.followed {
-            Followed::Configuration => peer.last.configuration,
-            Followed::Upstreams => peer.last.upstreams,
+            WatchedData::Configuration => peer.last.configuration,
+            WatchedData::Upstreams => peer.last.upstreams,
         }
     }
 
     fn known(&self, board: &Board) -> u64 {
         match self.followed {
-            Followed::Configuration => board.configuration_version(),
-            Followed::Upstreams => board.upstreams_position(),
+            WatchedData::Configuration => board.configuration_version(),
+            WatchedData::Upstreams => board.upstreams_position(),
         }
     }
 }
 
 async fn fetch(
     gateway: Rc<Gateway>,
-    followed: Followed,
+    followed: WatchedData,
     from: SocketAddr,
     fetching: Rc<Cell<bool>>,
 ) {
     let fetched = match followed {
-        Followed::Configuration => fetch_configuration(&gateway, from).await,
-        Followed::Upstreams => fetch_upstreams(&gateway, from).await,
+        WatchedData::Configuration => fetch_configuration(&gateway, from).await,
+        WatchedData::Upstreams => fetch_upstreams(&gateway, from).await,
     };
     // Cleared before the read of the store: another gateway may have the data by now, so the next
     // fetch need not wait for the store.
--- a/src/gateway/controllers/peers.rs
+++ b/src/gateway/controllers/peers.rs
@@ -16,7 +16,7 @@
         board::{HEARTBEAT_PERIOD, PEER_TIMEOUT, PeerView},
         context::Gateway,
         decide::{PeerTotal, startup_read_delay},
-        model::Followed,
+        model::WatchedData,
         net::Phase,
         peering::{Heartbeat, ProcessId, RelayedHeartbeat},
         telemetry::Event,
@@ -35,14 +35,14 @@
     timer: stakker::MaxTimerKey,
     sender: HeartbeatSender,
     knowledge_ages: KnowledgeAges,
-    syncs: [PeerSync; Followed::ALL.len()],
+    syncs: [PeerSync; WatchedData::ALL.len()],
 }
 
 impl Peers {
     /// Creates the controller and starts its periodic heartbeats on `socket`.
     pub fn init(cx: CX![], gateway: Rc<Gateway>, socket: Rc<UdpSocket>) -> Option<Self> {
         call!([cx], tick());
-        let syncs = Followed::ALL.map(|of| PeerSync::new(gateway.clone(), of));
+        let syncs = WatchedData::ALL.map(|of| PeerSync::new(gateway.clone(), of));
         let sender = HeartbeatSender::new(gateway.clone(), socket);
         let timer = stakker::MaxTimerKey::default();
         Some(Self { gateway, timer, sender, knowledge_ages: KnowledgeAges::default(), syncs })
--- a/src/gateway/controllers/table_reader.rs
+++ b/src/gateway/controllers/table_reader.rs
@@ -17,7 +17,7 @@
     gateway::{
         context::Gateway,
         decide::{Backoff, ReadAction, StoreMillis, SyncPoint},
-        model::{Followed, Revision, ServiceName},
+        model::{Revision, ServiceName, WatchedData},
         telemetry::Event,
     },
     platform::{Change, Feed, PlatformError, Snapshot, StoreRow, Table, rollout_service},
@@ -52,13 +52,13 @@
 /// Reads one table.
 struct TableReader {
     gateway: Rc<Gateway>,
-    followed: Followed,
+    followed: WatchedData,
     /// Revision up to which all changes were passed to the controllers.
     known: Cell<Revision>,
 }
 
 /// Keeps the knowledge of a table up to date: reads the table whenever it is this process's turn.
-pub async fn follow_table(gateway: Rc<Gateway>, followed: Followed) {
+pub async fn follow_table(gateway: Rc<Gateway>, followed: WatchedData) {
     let reader = Rc::new(TableReader { gateway, followed, known: Cell::default() });
     let mut backoff = Backoff::default();
     loop {
@@ -87,8 +87,8 @@
 impl TableReader {
     fn table(&self) -> Table {
         match self.followed {
-            Followed::Configuration => Table::Operator,
-            Followed::Upstreams => Table::Upstreams,
+            WatchedData::Configuration => Table::Operator,
+            WatchedData::Upstreams => Table::Upstreams,
         }
     }
 
@@ -96,7 +96,7 @@
     /// of upstreams; `None` once it is known, or time to read the store.
     fn wait_at_start(&self) -> Option<Duration> {
         let board = self.gateway.board.borrow();
-        if self.followed != Followed::Upstreams || board.upstreams_knowledge.is_some() {
+        if self.followed != WatchedData::Upstreams || board.upstreams_knowledge.is_some() {
             return None;
         }
         let now = clock::now();
@@ -107,8 +107,8 @@
     /// Returns the pause between changes and the next call.
     fn burst_pause(&self) -> Duration {
         match self.followed {
-            Followed::Configuration => Duration::ZERO,
-            Followed::Upstreams => BURST_PAUSE,
+            WatchedData::Configuration => Duration::ZERO,
+            WatchedData::Upstreams => BURST_PAUSE,
         }
     }
 
@@ -174,8 +174,8 @@
 
     fn pass_on_changes(&self, feed: Feed) {
         match self.followed {
-            Followed::Configuration => apply_operator_changes(&self.gateway, feed),
-            Followed::Upstreams => {
+            WatchedData::Configuration => apply_operator_changes(&self.gateway, feed),
+            WatchedData::Upstreams => {
                 self.gateway.send_to_controllers(|c| call!([c.directory], apply_feed(feed)))
             }
         }
@@ -183,8 +183,8 @@
 
     fn pass_on_snapshot(&self, snapshot: Snapshot) {
         match self.followed {
-            Followed::Configuration => apply_operator_snapshot(&self.gateway, snapshot),
-            Followed::Upstreams => {
+            WatchedData::Configuration => apply_operator_snapshot(&self.gateway, snapshot),
+            WatchedData::Upstreams => {
                 self.gateway
                     .send_to_controllers(|c| call!([c.directory], apply_snapshot(snapshot)));
             }
@@ -193,15 +193,15 @@
 }
 
 /// Returns the name of reads of changes in metrics and logs.
-fn feed_name(followed: Followed) -> &'static str {
+fn feed_name(followed: WatchedData) -> &'static str {
     match followed {
-        Followed::Configuration => "feed_configuration",
-        Followed::Upstreams => "feed_upstreams",
+        WatchedData::Configuration => "feed_configuration",
+        WatchedData::Upstreams => "feed_upstreams",
     }
 }
 
 /// Reads the changes of a table once, without waiting.
-pub(super) async fn read_once(gateway: Rc<Gateway>, followed: Followed) {
+pub(super) async fn read_once(gateway: Rc<Gateway>, followed: WatchedData) {
     let reader = Rc::new(TableReader { gateway, followed, known: Cell::default() });
     reader.read(Duration::ZERO).await;
 }
--- a/src/gateway/daemon.rs
+++ b/src/gateway/daemon.rs
@@ -16,11 +16,11 @@
     context::Gateway,
     controllers::{Controllers, follow_table, register_member, restore_state},
     decide::PeerCorrectedClock,
-    model::Followed,
+    model::WatchedData,
     net::{Phase, serve},
     peering::Datagram,
     reactor,
-    request::{Door, DoorKind},
+    request::{Endpoint, EndpointKind},
     telemetry::{Event, Journal},
 };
 use crate::{clock, settings::GatewaySettings, time::unix_millis};
@@ -69,21 +69,21 @@
     let journal = Journal::new(process, io::stdout());
     let gateway = Rc::new(Gateway::new(settings, incarnation, Board::new(clock, now), journal));
     for (address, kind) in [
-        (listen.callers, DoorKind::Callers),
-        (listen.directory, DoorKind::Directory),
-        (listen.readiness, DoorKind::Readiness),
-        (listen.peers, DoorKind::Peers),
+        (listen.callers, EndpointKind::Callers),
+        (listen.directory, EndpointKind::Directory),
+        (listen.readiness, EndpointKind::Readiness),
+        (listen.peers, EndpointKind::Peers),
     ] {
         let listener = bind_tcp(address).await?;
-        let door = Rc::new(Door { kind, gateway: gateway.clone() });
+        let door = Rc::new(Endpoint { kind, gateway: gateway.clone() });
         spawn_local(serve(listener, door, gateway.shutdown.clone()));
     }
     let mut stakker = Stakker::new(clock::now());
     let controllers = Rc::new(Controllers::start(&mut stakker, &gateway, socket.clone()));
     gateway.set_controllers(controllers);
-    gateway.grants.set_socket(socket.clone());
+    gateway.permit_requests.set_socket(socket.clone());
     spawn_local(receive(gateway.clone(), socket));
-    for followed in Followed::ALL {
+    for followed in WatchedData::ALL {
         spawn_local(follow_table(gateway.clone(), followed));
     }
     spawn_local(restore_state(gateway.clone()));
@@ -130,7 +130,7 @@
             Ok(Datagram::Crashes(notice)) => {
                 gateway.send_to_controllers(|c| call!([c.crashes], hear(notice)))
             }
-            Ok(Datagram::Limit(question)) => gateway.hear_limit_question(question, from),
+            Ok(Datagram::Limit(question)) => gateway.handle_limit_question(question, from),
             Err(e) => log::warn!("datagram from {from} cannot be decoded: {e}"),
         }
     }
--- a/src/gateway/model/configuration.rs
+++ b/src/gateway/model/configuration.rs
@@ -176,7 +176,7 @@
     }
 
     /// Returns whether requests on routes that are not open need an API key.
-    pub fn needs_keys(&self) -> bool {
+    pub fn requires_key(&self) -> bool {
         !self.customers.is_empty()
     }
 }
--- a/src/gateway/model/mod.rs
+++ b/src/gateway/model/mod.rs
@@ -10,7 +10,7 @@
 };
 pub use digest::{ParseDigestError, RequestDigest};
 pub use upstream::{Lifetime, Upstream, UpstreamPhase};
-pub use watched_data::Followed;
+pub use watched_data::WatchedData;
 
 /// Name of a service in the configuration.
 pub type ServiceName = String;
--- a/src/gateway/model/watched_data.rs
+++ b/src/gateway/model/watched_data.rs
@@ -2,14 +2,14 @@
 
 /// Kind of data that gateways watch in the store, each with its own calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Followed {
+pub enum WatchedData {
     /// The operator's configuration.
     Configuration,
     /// The rows in which upstreams register themselves.
     Upstreams,
 }
 
-impl Followed {
+impl WatchedData {
     /// All kinds.
     pub const ALL: [Self; 2] = [Self::Configuration, Self::Upstreams];
 
--- a/src/gateway/net/mod.rs
+++ b/src/gateway/net/mod.rs
@@ -9,6 +9,6 @@
 pub use connect::{
     Answer, CallError, ConnectError, HttpConnection, RequestBody, connect, json_request,
 };
-pub use pool::{Lease, Pool, PoolError};
+pub use pool::{Pool, PoolError, PooledConnection};
 pub use server::{AnswerBody, BodyError, Service, channel_body, full_body, serve};
 pub use shutdown::{Phase, Shutdown};
--- a/src/gateway/net/pool.rs
+++ b/src/gateway/net/pool.rs
@@ -67,9 +67,10 @@
         upstream: Lifetime,
         address: SocketAddr,
         max_open: usize,
-    ) -> Result<Lease, PoolError> {
+    ) -> Result<PooledConnection, PoolError> {
         let idle = self.reserve(upstream, max_open)?;
-        let mut pooled = Lease { upstream, shared: self.shared.clone(), connection: idle };
+        let mut pooled =
+            PooledConnection { upstream, shared: self.shared.clone(), connection: idle };
         if pooled.connection.is_none() {
             pooled.connection = Some(connect(address, CONNECT_TIMEOUT).await?);
         }
@@ -87,19 +88,20 @@
         upstream: Lifetime,
         address: SocketAddr,
         max_open: usize,
-    ) -> Result<Lease, PoolError> {
+    ) -> Result<PooledConnection, PoolError> {
         {
             let mut shared = self.shared.borrow_mut();
             let connections = shared.entry(upstream).or_default();
             connections.reserve_new(max_open)?;
         }
-        let mut pooled = Lease { upstream, shared: self.shared.clone(), connection: None };
+        let mut pooled =
+            PooledConnection { upstream, shared: self.shared.clone(), connection: None };
         pooled.connection = Some(connect(address, CONNECT_TIMEOUT).await?);
         Ok(pooled)
     }
 
     /// Returns whether there is an idle connection to the upstream.
-    pub fn has_kept(&self, upstream: Lifetime, now: Instant) -> bool {
+    pub fn has_idle(&self, upstream: Lifetime, now: Instant) -> bool {
         let shared = self.shared.borrow();
         shared.get(&upstream).is_some_and(|c| c.idle.iter().any(|idle| idle.until > now))
     }
@@ -159,13 +161,13 @@
 
 /// A connection in use by one request. It is closed when dropped, unless it was given back.
 #[derive(Debug)]
-pub struct Lease {
+pub struct PooledConnection {
     upstream: Lifetime,
     shared: Shared,
     connection: Option<HttpConnection>,
 }
 
-impl Lease {
+impl PooledConnection {
     /// Returns the underlying connection.
     pub fn connection(&mut self) -> &mut HttpConnection {
         self.connection.as_mut().expect("the connection is present until it is given back")
@@ -187,7 +189,7 @@
     }
 }
 
-impl Drop for Lease {
+impl Drop for PooledConnection {
     fn drop(&mut self) {
         if let Some(connections) = self.shared.borrow_mut().get_mut(&self.upstream) {
             connections.open = connections.open.saturating_sub(1);
--- a/src/gateway/reactor.rs
+++ b/src/gateway/reactor.rs
@@ -32,7 +32,7 @@
 pub async fn drive(mut stakker: Stakker, gateway: Rc<Gateway>) {
     let mut watch = SuspensionWatch::default();
     while stakker.not_shutdown() {
-        if let Some(suspended) = watch.look() {
+        if let Some(suspended) = watch.detect() {
             gateway.log(&Event::Suspended { for_ms: suspended.as_millis() as u64 });
         }
         stakker.run(clock::now(), false);
--- a/src/gateway/request/admit.rs
+++ b/src/gateway/request/admit.rs
@@ -8,7 +8,7 @@
         board::Board,
         context::Gateway,
         decide::QuotaUsedUp,
-        model::{Configuration, Customer, CustomerName, Followed, Route, ServiceName},
+        model::{Configuration, Customer, CustomerName, Route, ServiceName, WatchedData},
         telemetry::Event,
     },
     platform::RequestHead,
@@ -45,7 +45,7 @@
     // A final refusal requires the newest configuration, because routes or keys that this process
     // has not read yet may have been added. Routes and keys that it knows are served meanwhile.
     let behind = board.configuration_is_behind(now);
-    let old = board.is_old(Followed::Configuration, now);
+    let old = board.is_old(WatchedData::Configuration, now);
     let final_refusal = |refusal| match (behind, old) {
         (true, _) => Refusal::NoConfiguration,
         (false, true) => Refusal::ConfigurationOld,
@@ -71,7 +71,7 @@
     route: &Route,
     key: Option<&str>,
 ) -> Result<Option<&'a Customer>, Refusal> {
-    if route.open || !configuration.needs_keys() {
+    if route.open || !configuration.requires_key() {
         return Ok(None);
     }
     let customer = key.and_then(|key| configuration.customer(key));
--- a/src/gateway/request/attempt.rs
+++ b/src/gateway/request/attempt.rs
@@ -14,7 +14,7 @@
     gateway::{
         context::Gateway,
         model::RequestDigest,
-        net::{Lease, PoolError, RequestBody},
+        net::{PoolError, PooledConnection, RequestBody},
     },
     platform::{self, Attempt, RequestHead},
 };
@@ -72,7 +72,7 @@
 #[derive(Debug)]
 pub enum AttemptEnd {
     /// The head of the answer arrived; its body follows on the leased connection.
-    Answer(Response<Incoming>, Lease),
+    Answer(Response<Incoming>, PooledConnection),
     /// Nothing was sent, for this cause.
     Unsent(&'static str),
     /// The upstream states that it did not run the request.
@@ -139,14 +139,14 @@
         drain_and_release(response, lease).await;
         return AttemptEnd::NotExecuted(status);
     }
-    if platform::seal_missing(status, headers) {
+    if platform::is_unsigned_success(status, headers) {
         return AttemptEnd::Broken("answer_without_signature");
     }
     AttemptEnd::Answer(response, lease)
 }
 
 /// Reads and discards the rest of an answer, so that its connection can be reused.
-async fn drain_and_release(response: Response<Incoming>, lease: Lease) {
+async fn drain_and_release(response: Response<Incoming>, lease: PooledConnection) {
     let closes = platform::closes(response.headers());
     let keep_alive = platform::keep_alive(response.headers());
     let read = response.into_body().collect().await;
--- a/src/gateway/request/crash.rs
+++ b/src/gateway/request/crash.rs
@@ -28,11 +28,11 @@
 /// Probes whether upstreams have ended. At most one probe runs for each lifetime; requests that are
 /// interrupted together share its result.
 #[derive(Debug, Default)]
-pub struct EndChecks {
+pub struct UpstreamProbes {
     running: RefCell<HashMap<Lifetime, Rc<OnceCell<bool>>>>,
 }
 
-impl EndChecks {
+impl UpstreamProbes {
     /// Returns whether the upstream at `address` has ended, which is the case if its host refuses
     /// the connection. A host that does not answer may be unreachable, which proves no end.
     async fn has_ended(
@@ -108,7 +108,7 @@
             return;
         }
         self.note_interruption(lifetime);
-        let (gateway, checks) = (&self.gateway, &self.gateway.end_checks);
+        let (gateway, checks) = (&self.gateway, &self.gateway.upstream_probes);
         let (address, max) = (selected.address, selected.max_connections);
         if restarted || checks.has_ended(gateway, lifetime, address, max).await {
             gateway.upstream_ended(id, lifetime);
--- a/src/gateway/request/endpoints.rs
+++ b/src/gateway/request/endpoints.rs
@@ -31,7 +31,7 @@
 
 /// Kind of an address that the process listens on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum DoorKind {
+pub enum EndpointKind {
     /// Callers' requests, which are forwarded to upstreams.
     Callers,
     /// Directory look-ups, by which callers learn the addresses of gateways.
@@ -44,20 +44,20 @@
 
 /// Answers requests that arrive at one listening address.
 #[derive(Debug)]
-pub struct Door {
+pub struct Endpoint {
     /// Determines which handler answers.
-    pub kind: DoorKind,
+    pub kind: EndpointKind,
     /// State that all handlers share.
     pub gateway: Rc<Gateway>,
 }
 
-impl Service for Door {
+impl Service for Endpoint {
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         match self.kind {
-            DoorKind::Callers => forward(self.gateway.clone(), request).await,
-            DoorKind::Directory => directory(&self.gateway, &request),
-            DoorKind::Readiness => readiness(&self.gateway, &request),
-            DoorKind::Peers => peers(&self.gateway, &request),
+            EndpointKind::Callers => forward(self.gateway.clone(), request).await,
+            EndpointKind::Directory => directory(&self.gateway, &request),
+            EndpointKind::Readiness => readiness(&self.gateway, &request),
+            EndpointKind::Peers => peers(&self.gateway, &request),
         }
     }
 }
--- a/src/gateway/request/forward.rs
+++ b/src/gateway/request/forward.rs
@@ -27,8 +27,8 @@
     gateway::{
         context::Gateway,
         decide::{AttemptOutcome, RetryPolicy, RouteKey, VersionGroup},
-        model::{Followed, RequestDigest, RequestKind},
-        net::{AnswerBody, Lease, Phase, full_body},
+        model::{RequestDigest, RequestKind, WatchedData},
+        net::{AnswerBody, Phase, PooledConnection, full_body},
         telemetry::Event,
     },
     ids::UpstreamId,
@@ -168,7 +168,7 @@
 /// Answer of the first upstream that gives one.
 enum Reply {
     /// A stream, to be relayed as it arrives.
-    Stream(Response<Incoming>, Lease, Box<Selected>),
+    Stream(Response<Incoming>, PooledConnection, Box<Selected>),
     /// A complete answer, read into memory.
     Buffered(Response<AnswerBody>),
 }
@@ -226,7 +226,7 @@
     async fn take_answer(
         &mut self,
         response: Response<Incoming>,
-        lease: Lease,
+        lease: PooledConnection,
         selected: Selected,
     ) -> Result<Option<Reply>, Refusal> {
         let streaming = self.admitted.route.kind == RequestKind::Streaming;
@@ -301,7 +301,7 @@
             missing_tokens: selected.candidate.missing_tokens,
             configuration: self.admitted.configuration.version,
             upstreams: selected.revision,
-            upstreams_age_ms: self.gateway.knowledge_age_ms(Followed::Upstreams, now),
+            upstreams_age_ms: self.gateway.knowledge_age_ms(WatchedData::Upstreams, now),
             leaving: selected.leaving,
             row_missing: selected.row_missing,
         });
--- a/src/gateway/request/mod.rs
+++ b/src/gateway/request/mod.rs
@@ -18,9 +18,9 @@
 mod status;
 
 pub use admit::{Admitted, admit};
-pub use crash::EndChecks;
-pub use endpoints::{Door, DoorKind};
+pub use crash::UpstreamProbes;
+pub use endpoints::{Endpoint, EndpointKind};
 pub use events::EventSplitter;
 pub use outcome::Outcome;
-pub use permits::Grants;
+pub use permits::PermitRequests;
 pub use refusal::Refusal;
--- a/src/gateway/request/permits.rs
+++ b/src/gateway/request/permits.rs
@@ -26,7 +26,7 @@
 
 /// Outstanding requests for permits to other gateways.
 #[derive(Debug, Default)]
-pub struct Grants {
+pub struct PermitRequests {
     socket: OnceCell<Rc<UdpSocket>>,
     pending: RefCell<HashMap<u64, oneshot::Sender<Option<Duration>>>>,
     last_number: Cell<u64>,
@@ -43,7 +43,7 @@
 
 /// Removes an outstanding question when its request is dropped or its wait timed out.
 struct QuestionGuard<'a> {
-    grants: &'a Grants,
+    grants: &'a PermitRequests,
     number: u64,
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-impl Grants {
+impl PermitRequests {
     /// Sets the heartbeat socket, which also carries the questions between gateways.
     pub fn set_socket(&self, socket: Rc<UdpSocket>) {
         if self.socket.set(socket).is_err() {
@@ -96,7 +96,7 @@
             return Some(PermitSource::Own);
         }
         let (holder, address) = self.board.borrow().peer_to_ask(upstream, now)?;
-        let answer = self.grants.ask(upstream, address).await;
+        let answer = self.permit_requests.ask(upstream, address).await;
         let answer = answer.unwrap_or(GrantAnswer::Denied(GRANT_RETRY_DELAY));
         let mut board = self.board.borrow_mut();
         board.limits.note_answer(upstream, holder, answer, clock::now());
@@ -113,16 +113,16 @@
 
     /// Handles a permit question of another gateway, or another gateway's answer to one of this
     /// gateway's questions.
-    pub fn hear_limit_question(&self, question: LimitShareMessage, from: SocketAddr) {
+    pub fn handle_limit_question(&self, question: LimitShareMessage, from: SocketAddr) {
         match question {
             LimitShareMessage::Ask { number, upstream } => {
                 let now = clock::now();
                 let wait = self.board.borrow_mut().limits.grant(upstream, now).err();
-                self.grants.send(LimitShareMessage::Answer { number, wait }, from);
+                self.permit_requests.send(LimitShareMessage::Answer { number, wait }, from);
             }
             LimitShareMessage::Answer { number, wait } => {
                 // A late answer has no receiver any more.
-                if let Some(tx) = self.grants.pending.borrow_mut().remove(&number)
+                if let Some(tx) = self.permit_requests.pending.borrow_mut().remove(&number)
                     && tx.send(wait).is_err()
                 {
                     log::debug!("rate-limit answer from {from} arrived too late");
--- a/src/gateway/request/relay.rs
+++ b/src/gateway/request/relay.rs
@@ -21,7 +21,7 @@
     clock,
     gateway::{
         decide::AttemptOutcome,
-        net::{AnswerBody, BodyError, Lease, channel_body},
+        net::{AnswerBody, BodyError, PooledConnection, channel_body},
     },
     platform,
 };
@@ -34,7 +34,7 @@
 pub fn relay(
     forwarding: Forwarding,
     response: Response<Incoming>,
-    lease: Lease,
+    lease: PooledConnection,
     selected: Selected,
 ) -> Response<AnswerBody> {
     let (mut parts, body) = response.into_parts();
@@ -53,14 +53,19 @@
 /// A run at an upstream whose answer is being read.
 struct Run {
     body: Incoming,
-    lease: Lease,
+    lease: PooledConnection,
     selected: Selected,
     keep_alive: Option<std::time::Duration>,
     closes: bool,
 }
 
 impl Run {
-    fn new(headers: &hyper::HeaderMap, body: Incoming, lease: Lease, selected: Selected) -> Self {
+    fn new(
+        headers: &hyper::HeaderMap,
+        body: Incoming,
+        lease: PooledConnection,
+        selected: Selected,
+    ) -> Self {
         let (keep_alive, closes) = (platform::keep_alive(headers), platform::closes(headers));
         Self { body, lease, selected, keep_alive, closes }
     }
--- a/src/gateway/request/report.rs
+++ b/src/gateway/request/report.rs
@@ -10,7 +10,7 @@
     gateway::{
         context::Gateway,
         decide::{AttemptOutcome, FirstTokenSample, RouteKey, VersionGroup},
-        model::{Followed, Lifetime, RequestKind},
+        model::{Lifetime, RequestKind, WatchedData},
         net::AnswerBody,
         telemetry::{Event, RequestLabels},
     },
@@ -40,7 +40,7 @@
         took_ms,
         first_ms: took_ms,
         configuration: gateway.board.borrow().configuration_version(),
-        configuration_age_ms: gateway.knowledge_age_ms(Followed::Configuration, clock::now()),
+        configuration_age_ms: gateway.knowledge_age_ms(WatchedData::Configuration, clock::now()),
     });
     let class = admitted.map_or_else(|| "unknown".to_owned(), class);
     let labels = RequestLabels { class, outcome: refusal.cause().to_owned() };
@@ -174,7 +174,7 @@
             configuration: self.admitted.configuration.version,
             configuration_age_ms: self
                 .gateway
-                .knowledge_age_ms(Followed::Configuration, clock::now()),
+                .knowledge_age_ms(WatchedData::Configuration, clock::now()),
         });
         let class = class(&self.admitted);
         if let Some(time) = to_first {
--- a/src/gateway/request/select.rs
+++ b/src/gateway/request/select.rs
@@ -206,7 +206,7 @@
                 false => 0.0,
             };
             let failures = own + all * failure_weight;
-            let connected = gateway.pool.has_kept(view.lifetime, now);
+            let connected = gateway.pool.has_idle(view.lifetime, now);
             Candidate { failures, connected, ..candidate }
         })
         .collect();
--- a/src/gateway/request/signals.rs
+++ b/src/gateway/request/signals.rs
@@ -22,7 +22,7 @@
         return;
     }
     let request = &outgoing.head.id;
-    if platform::says_leaving(headers) {
+    if platform::announces_leaving(headers) {
         let now = clock::now();
         let is_new = gateway.board.borrow_mut().note_leaving(selected.lifetime, now, now);
         if is_new {
@@ -46,7 +46,7 @@
 ) -> Result<(), SignalError> {
     let now = clock::now();
     let time = gateway.board.borrow().clock.unix_millis(now);
-    let Some(rest) = platform::decode_rest(status, headers, time)? else {
+    let Some(rest) = platform::decode_retry_after(status, headers, time)? else {
         return Ok(());
     };
     if gateway.board.borrow_mut().rests.extend_cooldown(selected.lifetime, rest, now) {
--- a/src/gateway/telemetry/metrics.rs
+++ b/src/gateway/telemetry/metrics.rs
@@ -13,7 +13,7 @@
     registry::Registry,
 };
 
-use crate::{gateway::model::Followed, telemetry::Labels};
+use crate::{gateway::model::WatchedData, telemetry::Labels};
 
 /// Upper bound of the first bucket of latency histograms, in seconds.
 const FIRST_BUCKET_S: f64 = 0.004;
@@ -33,13 +33,13 @@
 /// Label that names the kind of watched store data.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct KnowledgeLabels {
-    /// Name of the kind, see [`Followed::name`].
+    /// Name of the kind, see [`WatchedData::name`].
     pub of: String,
 }
 
 impl KnowledgeLabels {
     /// Creates the label of a kind of watched store data.
-    pub fn new(followed: Followed) -> Self {
+    pub fn new(followed: WatchedData) -> Self {
         Self { of: followed.name().to_owned() }
     }
 }
--- a/src/platform/headers.rs
+++ b/src/platform/headers.rs
@@ -191,7 +191,7 @@
 }
 
 /// Returns whether an answer has a success status but no signature of its upstream.
-pub fn seal_missing(status: StatusCode, headers: &HeaderMap) -> bool {
+pub fn is_unsigned_success(status: StatusCode, headers: &HeaderMap) -> bool {
     status.is_success() && !is_signed(headers)
 }
 
--- a/src/platform/mod.rs
+++ b/src/platform/mod.rs
@@ -19,14 +19,14 @@
 pub use duties::{DutyClient, EngineOrder, OrderOutcome};
 pub use error::PlatformError;
 pub use headers::{
-    Attempt, Prompt, RequestHead, closes, decode_head, is_not_executed, is_signed, keep_alive,
-    same_request, seal_missing, stamp_attempt, strip_hop_headers,
+    Attempt, Prompt, RequestHead, closes, decode_head, is_not_executed, is_signed,
+    is_unsigned_success, keep_alive, same_request, stamp_attempt, strip_hop_headers,
 };
 pub use lookup::{Lookup, decode_lookup, encode_addresses, is_ready_probe};
 pub use rollouts::{
     RolloutDocument, RolloutState, decode_rollout, decode_rollout_status, encode_rollout_status,
     rollout_key, rollout_service,
 };
-pub use signals::{SignalError, decode_rate_limit, decode_rest, says_leaving};
+pub use signals::{SignalError, announces_leaving, decode_rate_limit, decode_retry_after};
 pub use store::{Change, Feed, RowWrite, Snapshot, StoreClient, StoreRow, Table, WriteOutcome};
 pub use upstreams::{EntryError, decode_upstream};
--- a/src/platform/signals.rs
+++ b/src/platform/signals.rs
@@ -38,7 +38,7 @@
 }
 
 /// Returns whether the upstream announces that it is leaving.
-pub fn says_leaving(headers: &HeaderMap) -> bool {
+pub fn announces_leaving(headers: &HeaderMap) -> bool {
     headers.get_all(SERVER_LEAVING).iter().any(|v| v.as_bytes().trim_ascii() == b"1")
 }
 
@@ -49,7 +49,7 @@
 /// # Errors
 ///
 /// Fails if a value is neither a number of seconds nor an HTTP date.
-pub fn decode_rest(
+pub fn decode_retry_after(
     status: StatusCode,
     headers: &HeaderMap,
     time: UnixMillis,
--- a/tests/platform_adapter.rs
+++ b/tests/platform_adapter.rs
@@ -6,9 +6,9 @@
 use tackhollow::{
     gateway::model::{RequestKind, UpstreamPhase},
     platform::{
-        Attempt, closes, decode_configuration, decode_head, decode_lookup, decode_rate_limit,
-        decode_rest, decode_upstream, encode_addresses, is_not_executed, keep_alive, same_request,
-        says_leaving, seal_missing, stamp_attempt, strip_hop_headers,
+        Attempt, announces_leaving, closes, decode_configuration, decode_head, decode_lookup,
+        decode_rate_limit, decode_retry_after, decode_upstream, encode_addresses, is_not_executed,
+        is_unsigned_success, keep_alive, same_request, stamp_attempt, strip_hop_headers,
     },
 };
 
@@ -176,9 +176,9 @@
     let ok = StatusCode::OK;
     let unavailable = StatusCode::SERVICE_UNAVAILABLE;
     let sealed = headers(&[("x-response-seal", "3e1b"), ("x-request-id", "9c41")]);
-    assert!(!seal_missing(ok, &sealed));
-    assert!(seal_missing(ok, &HeaderMap::new()));
-    assert!(!seal_missing(unavailable, &HeaderMap::new()));
+    assert!(!is_unsigned_success(ok, &sealed));
+    assert!(is_unsigned_success(ok, &HeaderMap::new()));
+    assert!(!is_unsigned_success(unavailable, &HeaderMap::new()));
     assert!(same_request(&sealed, "9c41"));
     assert!(!same_request(&sealed, "9c42"));
     assert!(
@@ -275,7 +275,7 @@
     for case in cases {
         let list: Vec<_> = case.value.iter().map(|v| ("retry-after", *v)).collect();
         let status = StatusCode::from_u16(case.status).expect("a status");
-        let decoded = decode_rest(status, &headers(&list), time);
+        let decoded = decode_retry_after(status, &headers(&list), time);
         assert_eq!(decoded.map_err(drop), case.retry_after, "{} {:?}", case.status, case.value);
     }
 }
@@ -284,7 +284,7 @@
 fn only_the_published_value_marks_an_upstream_as_leaving() {
     let cases = [("1", true), (" 1", true), ("0", false), ("", false), ("true", false)];
     for (value, leaves) in cases {
-        assert_eq!(says_leaving(&headers(&[("server-leaving", value)])), leaves, "{value:?}");
+        assert_eq!(announces_leaving(&headers(&[("server-leaving", value)])), leaves, "{value:?}");
     }
-    assert!(!says_leaving(&HeaderMap::new()));
+    assert!(!announces_leaving(&HeaderMap::new()));
 }
--- a/tests/suspended_hosts.rs
+++ b/tests/suspended_hosts.rs
@@ -60,7 +60,7 @@
         let start = Instant::now();
         let mut watch = SuspensionWatch::default();
         let at = |ms: u64| start + Duration::from_millis(ms);
-        let note = |(monotonic, host): &(u64, u64)| watch.note(at(*monotonic), at(*host));
+        let note = |(monotonic, host): &(u64, u64)| watch.record(at(*monotonic), at(*host));
         let detected: Vec<u64> =
             case.readings.iter().filter_map(note).map(|d| d.as_millis() as u64).collect();
         assert_eq!(detected, case.detected, "{}", case.name);
